--- a/bench/features/steps/ablations_steps.py
+++ b/bench/features/steps/ablations_steps.py
@@ -7,7 +7,7 @@
 
 from bench.replay import ablations
 from bench.replay import policies
-from gentianpoint_entry.forwarding import choice
+from gentianpoint_entry.forwarding import target_selection
 
 CHOICE = ([], None, "centre-0", 1, 0.0, random.Random(1))
 
@@ -21,7 +21,7 @@
         with futures.ProcessPoolExecutor(1) as pool:
             jobs = [
                 pool.submit(ablations.switch_off, number),
-                pool.submit(choice.choose_target, *CHOICE),
+                pool.submit(target_selection.choose_target, *CHOICE),
             ]
             context.errors += [job.exception() for job in jobs]
 
--- a/bench/replay/ablations.py
+++ b/bench/replay/ablations.py
@@ -15,8 +15,8 @@
 from bench.replay import loads
 from bench.replay import playing
 from gentianpoint_entry.forwarding import agent_turns
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import generation_moves
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("ABLATIONS", "switch_off")
@@ -76,12 +76,15 @@
     def score_memory(*args: typing.Any) -> float:
         return 0.0
 
-    _replace(choice, "_score_memory", score_memory)
+    _replace(target_selection, "_score_memory", score_memory)
 
 
 def _drop_distance() -> None:
-    _replace(choice, "_FAR_COST", 0.0)
-    for function in (choice.score_target, choice.choose_target):
+    _replace(target_selection, "_DISTANCE_COST", 0.0)
+    for function in (
+        target_selection.score_target,
+        target_selection.choose_target,
+    ):
         # The first of their defaults is the constant.
         _, *others = function.__defaults__ or ()
         _replace(function, "__defaults__", (0.0, *others))
@@ -89,7 +92,7 @@
 
 def _set(name: str, value: float) -> abc.Callable[[], None]:
     """Return what replaces one constant of the choice."""
-    return functools.partial(_replace, choice, name, value)
+    return functools.partial(_replace, target_selection, name, value)
 
 
 class Ablation(typing.NamedTuple):
@@ -112,14 +115,14 @@
     Ablation("announcements", _drop_announcements),
     Ablation("agents' reports", _drop_reports),
     Ablation("prompts of other entries", policy="own prompts"),
-    Ablation("cost of prompts", _set("_PREFILL_TOKENS", _NEVER)),
-    Ablation("cost of a crowd", _set("_CROWD", _NEVER)),
+    Ablation("cost of prompts", _set("_UNREAD_TOKENS_SCALE", _NEVER)),
+    Ablation("cost of a crowd", _set("_RUNNING_SCALE", _NEVER)),
     Ablation("cost of memory", _drop_memory_cost),
-    Ablation("cost of full memory", _set("_FULL_COST", 0.0)),
+    Ablation("cost of full memory", _set("_MEMORY_OVERFLOW_COST", 0.0)),
     Ablation("cost of distance", _drop_distance),
-    Ablation("near in haste", _set("_LOSS_COST", 0.0)),
+    Ablation("near in haste", _set("_LOST_GENERATION_COST", 0.0)),
     Ablation("memory of failures", _set("_FAILURE_COST", 0.0)),
-    Ablation("noise between equals", _set("_NOISE", 0.0)),
+    Ablation("noise between equals", _set("_TIE_BREAK_NOISE", 0.0)),
 )
 """What can be switched off, with nothing off first."""
 
--- a/bench/replay/callers.py
+++ b/bench/replay/callers.py
@@ -140,7 +140,7 @@
     def __init__(
         self,
         generation: shapes.Generation,
-        handlings: abc.Sequence[request_handling.RequestHandling],
+        handlings: abc.Sequence[request_handling.RequestHandler],
         costs: shapes.EngineCosts,
         service: routes.Service,
         source: random.Random,
--- a/bench/replay/engine_calls.py
+++ b/bench/replay/engine_calls.py
@@ -31,7 +31,7 @@
         self.headers = ()
         self.has_not_run = work is None
         self.is_wrong_target = False
-        self.is_sealed = True
+        self.has_server_seal = True
         self.retry_after_ms = 0.0
         self._work: typing.Final = work
 
@@ -133,15 +133,15 @@
         there.add(work, is_first=True)
         return work
 
-    async def move_memory(
+    async def copy_memory(
         self,
         source: targets.Target,
         destination: targets.Target,
         request_id: str,
         *,
-        stops: bool,
+        stops_first: bool,
         deadline: deadlines.Deadline,
-    ) -> target_calls.MovedCopy:
+    ) -> target_calls.CopyResult:
         """Copy a generation's memory; see the base class."""
         error = ports.PortError(
             "move memory", source.target_id, "no answer", took_effect=True
@@ -153,7 +153,7 @@
             work = self._find_work(here, request_id)
             if work is None:
                 raise error
-            if stops:
+            if stops_first:
                 work.is_stopped = True
                 work.events.close()
                 here.batch.remove(work)
@@ -161,7 +161,7 @@
             is_whole = await self._copy(here, there, work, "move/")
             if here.is_gone:
                 raise error
-            return target_calls.MovedCopy("move/" + request_id, is_whole)
+            return target_calls.CopyResult("move/" + request_id, is_whole)
         raise error
 
     @staticmethod
@@ -215,11 +215,11 @@
             # It ended well, or went on elsewhere.
             there.copies.pop(name, None)
 
-    async def free_memory(self, target: targets.Target, name: str) -> None:
+    async def free_copy(self, target: targets.Target, name: str) -> None:
         """Free a copy; see the base class."""
         await trio.sleep(_HOP_S)
         for item in self._engines.values():
             item.copies.pop(name, None)
 
-    def keep_only(self, listed: abc.Collection[targets.Target]) -> None:
+    def close_unlisted(self, listed: abc.Collection[targets.Target]) -> None:
         """Keep nothing anyway."""
--- a/bench/replay/playing.py
+++ b/bench/replay/playing.py
@@ -103,7 +103,7 @@
     number: int,
     seed: int,
     nursery: trio.Nursery,
-) -> request_handling.RequestHandling:
+) -> request_handling.RequestHandler:
     shared: forwarder.Forwarder = policies.POLICIES[policy](
         engines.boards[number],
         calls,
@@ -113,14 +113,14 @@
         random.Random(seed * 100 + number),
         measures.Measures(metrics.NoOpMeterProvider()),
     )
-    nursery.start_soon(shared.free_copies)
-    return request_handling.RequestHandling(shared, callers.send_refusal)
+    nursery.start_soon(shared.release_unused_copies)
+    return request_handling.RequestHandler(shared, callers.send_refusal)
 
 
 async def _call_all(
     load: shapes.Load,
     drawn: list[shapes.Generation],
-    handlings: list[request_handling.RequestHandling],
+    handlings: list[request_handling.RequestHandler],
     costs: shapes.EngineCosts,
     outcomes: list[callers.Outcome],
     seed: int,
--- a/bench/replay/policies.py
+++ b/bench/replay/policies.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import forwarder
 from gentianpoint_entry.forwarding import requests
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("POLICIES",)
@@ -28,7 +28,7 @@
 class _NoMoves(_MovesAlone):
     """Our choice, without copies or moves."""
 
-    def choose_room(
+    def choose_destination(
         self, request: requests.CallerRequest, source: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Move nothing."""
@@ -38,12 +38,14 @@
 class _SharedDestinations(forwarder.Forwarder):
     """Our choice, where engines that leave together share destinations."""
 
-    def choose_room(
+    def choose_destination(
         self, request: requests.CallerRequest, source: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Choose as if no other engine left."""
-        with mock.patch.object(choice, "_OTHERS_COST", 0.0):
-            return super().choose_room(request, source)
+        with mock.patch.object(
+            target_selection, "_RESERVED_DESTINATION_COST", 0.0
+        ):
+            return super().choose_destination(request, source)
 
 
 class _RoundRobin(_NoMoves):
@@ -51,7 +53,7 @@
 
     def __init__(self, *args: typing.Any) -> None:
         super().__init__(*args)
-        self._turn: typing.Final = itertools.count(self.source.randrange(7))
+        self._turn: typing.Final = itertools.count(self.rng.randrange(7))
 
     def choose_target(
         self,
@@ -83,7 +85,7 @@
         """Return the one with the fewest, drawn among equals."""
         return min(
             self._list_open(request, excluded),
-            key=lambda item: (item.open_requests, self.source.random()),
+            key=lambda item: (item.open_requests, self.rng.random()),
             default=None,
         )
 
@@ -95,21 +97,21 @@
         self, request: requests.CallerRequest, runner: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Back up as far as there is room."""
-        return choice.choose_backup(
+        return target_selection.choose_copy_destination(
             self.board.list_of(request.service.name),
             runner,
             request,
             self.count_entries(),
             trio.current_time(),
-            self.source,
-            choice.MOST_USED_BY_MOVES,
+            self.rng,
+            target_selection.MAX_USED_SHARE_FOR_MOVES,
         )
 
 
 class _BestOfAll(forwarder.Forwarder):
     """Our choice, as if no other entry sent anything."""
 
-    def _estimate_others_per_s(self, now: float) -> float:
+    def _estimate_other_arrivals_per_s(self, now: float) -> float:
         return 0.0
 
 
--- a/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
@@ -110,7 +110,7 @@
         self.headers = ((b"x-mark", b"1"),)
         self.has_not_run = words == "refuse"
         self.is_wrong_target = words == "other target"
-        self.is_sealed = words != "unmarked"
+        self.has_server_seal = words != "unmarked"
         self.retry_after_ms = 0.0
         self.status = 200
         if self.has_not_run or words == "unproved refusal":
@@ -183,30 +183,30 @@
         finally:
             self.open.discard(name)
 
-    async def move_memory(
+    async def copy_memory(
         self,
         source: targets.Target,
         destination: targets.Target,
         request_id: str,
         *,
-        stops: bool,
+        stops_first: bool,
         deadline: deadlines.Deadline,
-    ) -> target_calls.MovedCopy:
+    ) -> target_calls.CopyResult:
         """Answer by the next words for moves."""
-        self.stops.append(stops)
+        self.stops.append(stops_first)
         await trio.sleep(0.05)
         words = self.moves.pop(0) if len(self.moves) > 1 else self.moves[0]
         if words == "unreachable":
             raise ports.PortError(
                 "move memory", "source", "down", took_effect=False
             )
-        return target_calls.MovedCopy("handle-1", words == "copied")
+        return target_calls.CopyResult("handle-1", words == "copied")
 
-    async def free_memory(self, target: targets.Target, name: str) -> None:
+    async def free_copy(self, target: targets.Target, name: str) -> None:
         """Note what is freed."""
         self.freed.append((target.target_id, name))
 
-    def keep_only(self, listed: abc.Collection[targets.Target]) -> None:
+    def close_unlisted(self, listed: abc.Collection[targets.Target]) -> None:
         """Keep nothing anyway."""
 
 
--- a/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
@@ -72,7 +72,7 @@
     shared = forwarding_builders.make_forwarder(["a"], calls)
     route = forwarding_builders.make_route(routes.RouteKind.STREAM)
     ends_at = trio.current_time() + leave_ms / 1000
-    handling = request_handling.RequestHandling(
+    handling = request_handling.RequestHandler(
         shared, forwarding_builders.send_refusal, lambda: ends_at
     )
     await trio.sleep(generation.comes_at * leave_ms / 1000)
@@ -118,12 +118,12 @@
     shared = forwarding_builders.make_forwarder(
         [], forwarding_builders.ScriptedCalls()
     )
-    shared.source.seed(seed)
-    handling = request_handling.RequestHandling(
+    shared.rng.seed(seed)
+    handling = request_handling.RequestHandler(
         shared,
         note,
         trio.current_time,
-        lambda _: leaving.find_return_ms(near, far, leave_ms, needed_ms),
+        lambda _: leaving.find_retry_delay_ms(near, far, leave_ms, needed_ms),
     )
     request = forwarding_builders.make_request(
         forwarding_builders.make_route(routes.RouteKind.STREAM), ENGINE
--- a/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
@@ -65,7 +65,7 @@
 
 async def run_entry(context):
     shared = forwarding_builders.make_forwarder(["a"], context.calls)
-    handling = request_handling.RequestHandling(
+    handling = request_handling.RequestHandler(
         shared,
         forwarding_builders.send_refusal,
         lambda: front.leaves_at,
--- a/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
@@ -27,7 +27,7 @@
     async def run():
         shared = forwarding_builders.make_forwarder(["a"], context.calls)
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
         request = forwarding_builders.make_request(
@@ -78,7 +78,7 @@
             most_output_tokens=max(context.tokens, request.most_output_tokens),
         )
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
         await handling.serve(request, context.answer)
--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -15,12 +15,12 @@
 from gentianpoint_core import peer_sockets
 from gentianpoint_core.generated import messages
 from gentianpoint_entry.forwarding import agent_feeds
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import entry_peers
 from gentianpoint_entry.forwarding import fleet_news
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import peer_links
 from gentianpoint_entry.forwarding import routes
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 from gentianpoint_entry.forwarding import topic_follower
 
@@ -146,13 +146,13 @@
         route, forwarding_builders.ENGINE
     )
     shared = forwarding_builders.make_forwarder("b", None)
-    choice.choose_target(
+    target_selection.choose_target(
         [target, shared.board.find("b")],
         request,
         forwarding_builders.DATA_CENTRE,
         1,
         trio.current_time(),
-        shared.source,
+        shared.rng,
     )
     if target.leaves_at is not None:
         assert target.leaves_at.remaining_ms() >= 0
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -104,7 +104,7 @@
         request = forwarding_builders.make_request(
             context.route, context.engine
         )
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, find_end
         )
         began = trio.current_time()
--- a/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
@@ -8,8 +8,8 @@
 import trio
 
 from gentianpoint_core import deadlines
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import routes
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 _NOW = 50.0
@@ -105,7 +105,7 @@
     request = make_request(context)
     source = random.Random(3)
     context.placed = [
-        choice.choose_target(
+        target_selection.choose_target(
             context.engines.values(),
             request,
             forwarding_builders.DATA_CENTRE,
@@ -136,14 +136,14 @@
 @behave.when("a backup is chosen for a generation at a")
 def choose_backup(context):
     runner = context.engines["a"]
-    chosen = choice.choose_backup(
+    chosen = target_selection.choose_copy_destination(
         context.engines.values(),
         runner,
         make_request(context),
         1,
         _NOW,
         random.Random(3),
-        choice.MOST_USED_BY_BACKUPS,
+        target_selection.MAX_USED_SHARE_FOR_BACKUPS,
     )
     context.backup = "none" if chosen is None else chosen.target_id
 
@@ -169,10 +169,10 @@
 
 
 @behave.when("the entry chooses a destination for a generation at {runner}")
-def choose_room(context, runner):
+def choose_destination_by_entry(context, runner):
     choose_at_entry(
         context,
-        lambda shared, request: shared.choose_room(
+        lambda shared, request: shared.choose_destination(
             request, shared.board.find(runner)
         ),
     )
@@ -215,13 +215,13 @@
     runner.leaves_at = deadlines.Deadline(_NOW + left_ms / 1000)
     request = make_request(context)
     service = request.service._replace(engine=context.shape)
-    chosen = choice.choose_backup(
+    chosen = target_selection.choose_copy_destination(
         context.engines.values(),
         runner,
         request._replace(service=service),
         1,
         _NOW,
         random.Random(3),
-        choice.MOST_USED_BY_MOVES,
+        target_selection.MAX_USED_SHARE_FOR_MOVES,
     )
     context.backup = chosen.target_id
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
@@ -23,6 +23,6 @@
         started then stays unfinished, which its caller sees.
         """
 
-    def describe_pace(self) -> dict[str, typing.Any]:
+    def describe_timing(self) -> dict[str, typing.Any]:
         """Return what the line that ends the request tells of its pace."""
         return {}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_front.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_front.py
@@ -93,7 +93,7 @@
             events.LEAVING_STARTED, busy_connections=self._callers.busy_count
         )
         await trio.sleep(
-            min(leaving.NOTICE_MS / 1000, self._leave_within_s / 2)
+            min(leaving.READINESS_LAG_MS / 1000, self._leave_within_s / 2)
         )
         while trio.current_time() < self._leaves_at:
             self._callers.close_idle()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
@@ -12,12 +12,12 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import arrivals
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import measures
 from gentianpoint_entry.forwarding import move_destinations
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import retry_limits
 from gentianpoint_entry.forwarding import target_calls
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("Forwarder",)
@@ -62,14 +62,14 @@
         self.data_centre: typing.Final = data_centre
         self.count_entries: typing.Final = count_entries
         self._count_sharing: typing.Final = count_sharing or count_entries
-        self.source: typing.Final = source
+        self.rng: typing.Final = source
         self.measures: typing.Final = figures
         self._arrivals: typing.Final = arrivals.Arrivals()
         send, receive = trio.open_memory_channel[_UnusedCopy](math.inf)
         self._unused: typing.Final = send
         self._to_free: typing.Final = receive
 
-    async def tidy_connections(self) -> None:
+    async def close_stale_connections(self) -> None:
         """Close what is kept for targets that have gone, for ever.
 
         Targets come and go every few seconds under new identifiers, and the
@@ -77,7 +77,7 @@
         """
         while True:
             await trio.sleep(_TIDY_S)
-            self.calls.keep_only(self.board.list_all())
+            self.calls.close_unlisted(self.board.list_all())
 
     def choose_target(
         self,
@@ -93,17 +93,17 @@
         now = trio.current_time()
         if request.service.engine is not None:
             self._arrivals.note(now)
-        return choice.choose_target(
+        return target_selection.choose_target(
             candidates,
             request,
             self.data_centre,
             self.count_entries(),
             now,
-            self.source,
-            others_per_s=self._estimate_others_per_s(now),
+            self.rng,
+            others_per_s=self._estimate_other_arrivals_per_s(now),
         )
 
-    def _estimate_others_per_s(self, now: float) -> float:
+    def _estimate_other_arrivals_per_s(self, now: float) -> float:
         """Return how many generations other entries send a second.
 
         Callers are spread over the entries, so each gets much the same.
@@ -111,7 +111,7 @@
         others = self.count_entries() - 1
         return self._arrivals.measure_per_s(now) * others
 
-    def choose_room(
+    def choose_destination(
         self, request: requests.CallerRequest, source: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Return the target to which a generation moves, or None.
@@ -122,7 +122,7 @@
         target = self._choose_other(
             request,
             source,
-            choice.MOST_USED_BY_MOVES,
+            target_selection.MAX_USED_SHARE_FOR_MOVES,
             move_destinations.list_of_others(
                 source, self.board.list_of(request.service.name)
             ),
@@ -130,7 +130,7 @@
         if target is not None:
             target.note_sent(
                 trio.current_time(),
-                choice.count_tokens(request),
+                target_selection.count_tokens(request),
                 0,
                 is_request=False,
             )
@@ -141,9 +141,11 @@
     ) -> typing.Optional[targets.Target]:
         """Return the target that keeps a copy of a generation, or None."""
         calm_s = trio.current_time() - self.board.noticed_at
-        if calm_s < choice.CALM_S:
+        if calm_s < target_selection.CALM_S:
             return None
-        return self._choose_other(request, runner, choice.MOST_USED_BY_BACKUPS)
+        return self._choose_other(
+            request, runner, target_selection.MAX_USED_SHARE_FOR_BACKUPS
+        )
 
     def _choose_other(
         self,
@@ -153,15 +155,15 @@
         avoided: abc.Collection[str] = (),
     ) -> typing.Optional[targets.Target]:
         now = trio.current_time()
-        return choice.choose_backup(
+        return target_selection.choose_copy_destination(
             self.board.list_of(request.service.name),
             runner,
             request,
             self.count_entries(),
             now,
-            self.source,
+            self.rng,
             most_used,
-            self._estimate_others_per_s(now),
+            self._estimate_other_arrivals_per_s(now),
             avoided,
         )
 
@@ -173,7 +175,7 @@
         options: requests.SendOptions,
     ) -> abc.AsyncIterator[target_calls.TargetAnswer]:
         """Send a request, and count it at its target meanwhile."""
-        tokens = choice.count_tokens(request)
+        tokens = target_selection.count_tokens(request)
         now = trio.current_time()
         target.open_request(now, tokens)
         is_read_anew = options.copy is None
@@ -198,17 +200,17 @@
         finally:
             target.close_request(tokens)
 
-    def free_copy(self, target: targets.Target, name: str) -> None:
-        """Have a copy freed that nobody will use; see :meth:`free_copies`."""
+    def schedule_copy_release(self, target: targets.Target, name: str) -> None:
+        """Queue a copy for :meth:`release_unused_copies`."""
         if not target.is_gone:
             self._unused.send_nowait(_UnusedCopy(target, name))
 
-    async def free_copies(self) -> None:
+    async def release_unused_copies(self) -> None:
         """Free left-over copies, for ever, beside the streams that go on."""
         async for copy in self._to_free:
             try:
                 with trio.move_on_after(_FREE_S):
-                    await self.calls.free_memory(copy.target, copy.name)
+                    await self.calls.free_copy(copy.target, copy.name)
             except ports.PortError as error:
                 # The copy lapses by itself after some seconds.
                 logs.log_event(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -19,10 +19,10 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import agent_turns
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import target_calls
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("GenerationMove", "StoppedGeneration")
@@ -140,11 +140,11 @@
     ) -> None:
         began = trio.current_time()
         try:
-            copy = await self._calls.move_memory(
+            copy = await self._calls.copy_memory(
                 self._source,
                 destination,
                 self._request_id,
-                stops=False,
+                stops_first=False,
                 deadline=limit,
             )
         except ports.PortError as error:
@@ -167,7 +167,7 @@
         need_ms = self._shape.estimate_copy_ms(self._count_memory())
         here = self._source.entry.data_centre
         if destination.entry.data_centre != here:
-            need_ms *= choice.FAR_FACTOR
+            need_ms *= target_selection.FAR_FACTOR
         return need_ms
 
     def _is_agent_heard(self) -> bool:
@@ -193,11 +193,11 @@
         if self._source.leaves_at is not None:
             limit = limit.earlier(self._source.leaves_at)
         try:
-            copy = await self._calls.move_memory(
+            copy = await self._calls.copy_memory(
                 self._source,
                 self.destination,
                 self._request_id,
-                stops=True,
+                stops_first=True,
                 deadline=limit,
             )
         except ports.PortError as error:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
@@ -19,9 +19,14 @@
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import routes
 
-__all__ = ("NOTICE_MS", "bound_ms", "find_return_ms", "find_start_deadline")
-
-NOTICE_MS: typing.Final = 2600.0
+__all__ = (
+    "READINESS_LAG_MS",
+    "bound_duration_ms",
+    "find_retry_delay_ms",
+    "find_start_deadline",
+)
+
+READINESS_LAG_MS: typing.Final = 2600.0
 """Time in which the balancer learns that an entry is not ready: it asks once
 a second and believes the second miss."""
 
@@ -32,7 +37,7 @@
 the balancer."""
 
 
-def bound_ms(request: requests.CallerRequest) -> float:
+def bound_duration_ms(request: requests.CallerRequest) -> float:
     """Return the time in which a request is to end, in milliseconds.
 
     A request ends with its deadline at the latest, and sooner if its route
@@ -75,7 +80,7 @@
     return math.ceil(request.most_output_tokens / event_tokens) * gap_ms
 
 
-def find_return_ms(
+def find_retry_delay_ms(
     near: abc.Sequence[typing.Optional[float]],
     far: abc.Sequence[typing.Optional[float]],
     leave_ms: float,
@@ -91,15 +96,15 @@
     refusal may be its last. It meets those elsewhere once the balancer knows
     that none of its own is ready.
 
-    >>> find_return_ms([500.0, None], [None], 8000.0, 20000.0)
+    >>> find_retry_delay_ms([500.0, None], [None], 8000.0, 20000.0)
     0.0
-    >>> find_return_ms([500.0, 900.0], [None], 8000.0, 20000.0)
+    >>> find_retry_delay_ms([500.0, 900.0], [None], 8000.0, 20000.0)
     2100.0
     """
     near_ms = _find_half_ms(near, leave_ms, needed_ms)
     if not far or None in near:
         return near_ms
-    unnoticed_ms = NOTICE_MS - min(passed or 0.0 for passed in near)
+    unnoticed_ms = READINESS_LAG_MS - min(passed or 0.0 for passed in near)
     far_ms = _find_half_ms(far, leave_ms, needed_ms)
     return min(near_ms, max(unnoticed_ms, far_ms))
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/refusals.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/refusals.py
@@ -10,7 +10,7 @@
 
 __all__ = (
     "BAD_GATEWAY",
-    "FORBIDDEN_WITHOUT_KEY",
+    "UNAUTHORIZED",
     "GATEWAY_TIMEOUT",
     "NOT_FOUND",
     "NOT_RUN",
@@ -25,7 +25,7 @@
 BAD_GATEWAY: typing.Final = 502
 GATEWAY_TIMEOUT: typing.Final = 504
 NOT_FOUND: typing.Final = 404
-FORBIDDEN_WITHOUT_KEY: typing.Final = 401
+UNAUTHORIZED: typing.Final = 401
 
 _SHORTEST_RETRY_MS: typing.Final = 150.0
 """Callers that come back sooner meet what refused them."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
@@ -20,7 +20,7 @@
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import stream_calls
 
-__all__ = ("RequestHandling", "SendRefusal")
+__all__ = ("RequestHandler", "SendRefusal")
 
 _LAST_ANSWERS_S: typing.Final = 0.1
 """Time for the final answers of an entry that ends."""
@@ -33,7 +33,7 @@
 """Writes a refusal in the form that callers expect."""
 
 
-class RequestHandling:
+class RequestHandler:
     """Serves requests one by one, each in the task of its connection."""
 
     def __init__(
@@ -41,16 +41,19 @@
         shared: forwarder.Forwarder,
         send_refusal: SendRefusal,
         find_end: abc.Callable[[], typing.Optional[float]] = lambda: None,
-        find_return_ms: abc.Callable[[float], float] = lambda needed_ms: 0.0,
+        find_retry_delay_ms: abc.Callable[[float], float] = lambda needed_ms: (
+            0.0
+        ),
     ) -> None:
         """Serve with what all requests share.
 
         ``find_end`` returns when this entry ends, on trio's clock, if it has
-        been told to stop. ``find_return_ms`` returns in how many milliseconds
-        a caller whose request ends within the given ones can be served.
+        been told to stop. ``find_retry_delay_ms`` returns in how many
+        milliseconds a caller whose request ends within the given ones can be
+        served.
         """
         self._find_end: typing.Final = find_end
-        self._find_return_ms: typing.Final = find_return_ms
+        self._find_retry_delay_ms: typing.Final = find_retry_delay_ms
         self._shared: typing.Final = shared
         self._send_refusal: typing.Final = send_refusal
         self._running: typing.Final[
@@ -111,7 +114,7 @@
                     customer=request.customer and request.customer.name,
                     **{
                         "late": _name_lateness(request.route, took_ms),
-                        **call.describe_pace(),
+                        **call.describe_timing(),
                     },
                 )
 
@@ -165,7 +168,7 @@
         if ends_at is None:
             return None
         left_ms = (ends_at - trio.current_time()) * 1000
-        needed_ms = leaving.bound_ms(request)
+        needed_ms = leaving.bound_duration_ms(request)
         is_taken = needed_ms <= left_ms
         logs.log_event(
             events.LEAVING_DECISION,
@@ -177,7 +180,7 @@
         )
         if is_taken:
             return None
-        return_ms = self._find_return_ms(needed_ms)
+        return_ms = self._find_retry_delay_ms(needed_ms)
         refusal = refusals.refuse_not_run(
             "this entry is about to end", return_ms
         )
@@ -194,7 +197,7 @@
             wait_ms = refusals.choose_retry_after_ms(
                 refusal,
                 request.caller_deadline.remaining_ms(),
-                self._shared.source,
+                self._shared.rng,
             )
             refusal = refusal._replace(retry_after_ms=wait_ms)
         logs.log_event(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -93,7 +93,7 @@
         self._move_again_at = 0.0
         self._has_stopped_in_vain = False
         self._hand_over_ms: typing.Final = (
-            _HAND_OVER_MS + shared.source.random() * _HAND_OVER_SPREAD_MS
+            _HAND_OVER_MS + shared.rng.random() * _HAND_OVER_SPREAD_MS
         )
         self._pace: typing.Final = stream_pace.StreamPace(
             request.route, shared.measures, trio.current_time()
@@ -117,7 +117,7 @@
             plan = self._plan_after_break(last)
         return self._give_up()
 
-    def describe_pace(self) -> dict[str, typing.Any]:
+    def describe_timing(self) -> dict[str, typing.Any]:
         """Return the number of events and the longest pause."""
         return self._pace.describe()
 
@@ -273,9 +273,11 @@
         """
         unused = "" if self._move is None else self._move.take_unused()
         if unused:
-            self._shared.free_copy(run.target, unused)
+            self._shared.schedule_copy_release(run.target, unused)
         if following is not None and run.backup is not None:
-            self._shared.free_copy(run.backup, self._request.request_id)
+            self._shared.schedule_copy_release(
+                run.backup, self._request.request_id
+            )
 
     async def _end_when_silent(
         self, run: stream_runs.StreamRun, nursery: trio.Nursery
@@ -451,7 +453,7 @@
         move = generation_moves.GenerationMove(
             self._shared.calls,
             target,
-            lambda: self._shared.choose_room(self._request, target),
+            lambda: self._shared.choose_destination(self._request, target),
             self._request.request_id,
             engine,
             count_memory,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
@@ -8,7 +8,7 @@
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import targets
 
-__all__ = ("MovedCopy", "TargetAnswer", "TargetCalls")
+__all__ = ("CopyResult", "TargetAnswer", "TargetCalls")
 
 _PROMISES: typing.Final = frozenset((408, 421, 429, 503))
 """Statuses by which callers take a request as never run."""
@@ -25,7 +25,7 @@
     """True when the target says that the request has not run there."""
     is_wrong_target: bool
     """True when another target has the address now; nothing has run."""
-    is_sealed: bool
+    has_server_seal: bool
     """True when the target's mark is on it; a success without is none."""
     retry_after_ms: float
     """When the target says to come back; 0 for nothing said."""
@@ -40,14 +40,14 @@
         Not without the target's mark, and none that promises that the
         request never runs where the target does not say so.
         """
-        return self.is_sealed and self.status not in _PROMISES
+        return self.has_server_seal and self.status not in _PROMISES
 
     @abc.abstractmethod
     def receive_body(self) -> collections_abc.AsyncIterator[bytes]:
         """Yield the body; raises ``ports.PortError`` when it breaks off."""
 
 
-class MovedCopy(typing.NamedTuple):
+class CopyResult(typing.NamedTuple):
     """A generation's memory, as copied to another target."""
 
     handle: str
@@ -73,25 +73,25 @@
         """
 
     @abc.abstractmethod
-    async def move_memory(
+    async def copy_memory(
         self,
         source: targets.Target,
         destination: targets.Target,
         request_id: str,
         *,
-        stops: bool,
+        stops_first: bool,
         deadline: deadlines.Deadline,
-    ) -> MovedCopy:
+    ) -> CopyResult:
         """Copy a generation's memory to another target.
 
-        Called again, it copies only what is new. With ``stops`` the
-        generation stops first, and its stream ends without being complete;
-        without, it goes on. Raises ``ports.PortError``; with ``stops`` the
-        generation may have stopped then.
+        Called again, it copies only what is new. With ``stops_first`` the
+        generation is stopped before the copy, and its stream ends without
+        being complete; without, it goes on. Raises ``ports.PortError``; with
+        ``stops_first`` the generation may have stopped by then.
         """
 
     @abc.abstractmethod
-    async def free_memory(self, target: targets.Target, name: str) -> None:
+    async def free_copy(self, target: targets.Target, name: str) -> None:
         """Free a copy that nobody will use; raises ``ports.PortError``.
 
         ``name`` is the handle of a move, asked at its source, or the
@@ -99,7 +99,7 @@
         """
 
     @abc.abstractmethod
-    def keep_only(
+    def close_unlisted(
         self, listed: collections_abc.Collection[targets.Target]
     ) -> None:
         """Close what is kept for targets that are no longer listed."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/choice.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
@@ -18,9 +18,9 @@
 from gentianpoint_entry.forwarding import targets
 
 __all__ = (
-    "MOST_USED_BY_BACKUPS",
-    "MOST_USED_BY_MOVES",
-    "choose_backup",
+    "MAX_USED_SHARE_FOR_BACKUPS",
+    "MAX_USED_SHARE_FOR_MOVES",
+    "choose_copy_destination",
     "choose_target",
     "count_tokens",
     "score_target",
@@ -37,22 +37,22 @@
 one: the agent may be at fault."""
 _SLOW_COST: typing.Final = 0.5
 """A target that has just started weighs like half of its slots taken."""
-_FAR_COST: typing.Final = 0.08
+_DISTANCE_COST: typing.Final = 0.08
 """Another data centre weighs like a twelfth of the slots taken: bytes between
 them are priced, and a request there takes some milliseconds more."""
-_LOSS_COST: typing.Final = 1.0
+_LOST_GENERATION_COST: typing.Final = 1.0
 """A generation that is left behind weighs like all slots taken. Its loss is
 certain, while those that crowd another target are only lost if that one gets
 notice too."""
 FAR_FACTOR: typing.Final = 2.0
 """Times that a copy of memory takes longer between data centres."""
-_FULL_COST: typing.Final = 4.0
+_MEMORY_OVERFLOW_COST: typing.Final = 4.0
 """Memory that would overflow leads to preemption, which costs more than any
 wait behind others."""
-_PREFILL_TOKENS: typing.Final = 7000.0
+_UNREAD_TOKENS_SCALE: typing.Final = 7000.0
 """Unread prompt tokens that weigh like all slots taken: at fourteen tokens a
 millisecond, half of a second before the next first token."""
-MOST_USED_BY_BACKUPS: typing.Final = 0.4
+MAX_USED_SHARE_FOR_BACKUPS: typing.Final = 0.4
 """Share of a target's memory up to which it takes copies of generations that
 may never be needed; the rest is for what runs there or moves there."""
 CALM_S: typing.Final = 10.0
@@ -60,15 +60,15 @@
 engines are given notice every few seconds, moves save more than backups do,
 which take the links and the memory that moves need. Three notices that come
 as often as there fall into this time."""
-_CROWD: typing.Final = 6.0
+_RUNNING_SCALE: typing.Final = 6.0
 """Running generations that weigh like all of the memory taken. They leave
 together, and only some of them can be moved in time."""
-MOST_USED_BY_MOVES: typing.Final = 0.95
+MAX_USED_SHARE_FOR_MOVES: typing.Final = 0.95
 """Share up to which a target takes generations that would else be lost."""
-_OTHERS_COST: typing.Final = 3.0
+_RESERVED_DESTINATION_COST: typing.Final = 3.0
 """A destination of another leaving target is taken only before one that is
 full: the copies of both would wait for each other on its link."""
-_NOISE: typing.Final = 0.02
+_TIE_BREAK_NOISE: typing.Final = 0.02
 """Breaks ties between equals."""
 _REQUEST_COST: typing.Final = 0.05
 """What a request of a plain service adds to its target's score, at least."""
@@ -80,7 +80,7 @@
     data_centre: str,
     entry_count: int,
     now: float,
-    far_cost: float = _FAR_COST,
+    far_cost: float = _DISTANCE_COST,
 ) -> float:
     """Return how bad a choice a target is; 0 is an idle one near by."""
     score = 0.0
@@ -94,9 +94,9 @@
         score += _SILENT_COST
     score += _score_slots(target, entry_count)
     if request.service.engine is not None:
-        score += _count_unread(target) / _PREFILL_TOKENS
+        score += _count_unread(target) / _UNREAD_TOKENS_SCALE
         score += _score_memory(target, request, entry_count)
-        score += _count_running(target) / _CROWD
+        score += _count_running(target) / _RUNNING_SCALE
     return score
 
 
@@ -129,7 +129,7 @@
     target: targets.Target, request: requests.CallerRequest, entry_count: int
 ) -> float:
     share = _find_used_share(target, request, entry_count)
-    return share + (_FULL_COST if share > 1.0 else 0.0)
+    return share + (_MEMORY_OVERFLOW_COST if share > 1.0 else 0.0)
 
 
 def _find_used_share(
@@ -155,7 +155,7 @@
     entry_count: int,
     now: float,
     source: random.Random,
-    far_cost: float = _FAR_COST,
+    far_cost: float = _DISTANCE_COST,
     others_per_s: float = 0.0,
     avoided: abc.Collection[str] = (),
 ) -> typing.Optional[targets.Target]:
@@ -170,8 +170,12 @@
             score_target(
                 target, request, data_centre, entry_count, now, far_cost
             )
-            + (_OTHERS_COST if target.target_id in avoided else 0.0)
-            + source.random() * _NOISE,
+            + (
+                _RESERVED_DESTINATION_COST
+                if target.target_id in avoided
+                else 0.0
+            )
+            + source.random() * _TIE_BREAK_NOISE,
             target,
         )
         for target in candidates
@@ -208,9 +212,9 @@
     if engine is None:
         return _REQUEST_COST
     return (
-        request.prompt_tokens / _PREFILL_TOKENS
+        request.prompt_tokens / _UNREAD_TOKENS_SCALE
         + count_tokens(request) / max(1, engine.memory_tokens)
-        + 1 / _CROWD
+        + 1 / _RUNNING_SCALE
         + 1 / max(1, engine.slots)
     )
 
@@ -230,7 +234,7 @@
     return 0.0
 
 
-def choose_backup(
+def choose_copy_destination(
     candidates: abc.Iterable[targets.Target],
     runner: targets.Target,
     request: requests.CallerRequest,
@@ -278,15 +282,15 @@
     """
     engine = request.service.engine
     if engine is None or runner.leaves_at is None:
-        return _FAR_COST
+        return _DISTANCE_COST
     copy_ms = engine.estimate_copy_ms(count_tokens(request))
     if copy_ms <= 0:
-        return _FAR_COST
+        return _DISTANCE_COST
     left_ms = max(0.0, (runner.leaves_at.at - now) * 1000)
     running = _count_running(runner)
     near = min(running, left_ms / copy_ms)
     far = min(running, left_ms / (copy_ms * FAR_FACTOR))
-    return _FAR_COST + _LOSS_COST * (near - far)
+    return _DISTANCE_COST + _LOST_GENERATION_COST * (near - far)
 
 
 def _count_running(target: targets.Target) -> int:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -194,7 +194,7 @@
         self._starts: typing.Final[dict[tuple[str, str], list[Target]]] = {}
 
     def note_notice(self, now: float) -> None:
-        """Remember when a target was last given notice; see ``choice``."""
+        """Record when a target last got notice; see ``target_selection``."""
         self.noticed_at = now
 
     def put_entry(
