--- a/bench/capacity/platform_path.py
+++ b/bench/capacity/platform_path.py
@@ -60,23 +60,25 @@
 
 def _count_links(fleet: _Fleet) -> int:
     """Return the connections of an entry to others, on average."""
-    if fleet.entries <= members.MOST_DIRECT + 1:
+    if fleet.entries <= members.MAX_FULL_MESH_PEERS + 1:
         return fleet.entries - 1
-    return 2 * members.count_opened()
+    return 2 * members.count_outbound_links()
 
 
 def _measure_beats_s(fleet: _Fleet) -> float:
     """Return the most bytes of beats that an entry sends a second."""
-    beat_s = members.measure_beat_s(fleet.entries)
+    beat_s = members.compute_beat_interval_s(fleet.entries)
     beats = fleet.entries * _count_links(fleet) / beat_s
     return beats * _count_beat_bytes()
 
 
 def _measure_reports_s(fleet: _Fleet) -> float:
     """Return the most bytes of reports that an entry sends a second."""
-    if fleet.entries <= members.MOST_DIRECT:
+    if fleet.entries <= members.MAX_FULL_MESH_PEERS:
         return 0.0
-    rows = fleet.engines * _count_links(fleet) / entry_peers.SEND_S
+    rows = (
+        fleet.engines * _count_links(fleet) / entry_peers.MAX_SEND_INTERVAL_S
+    )
     return rows * _count_row_bytes()
 
 
--- a/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
@@ -12,7 +12,7 @@
 from gentianpoint_core import codec
 from gentianpoint_core import ports
 from gentianpoint_entry.forwarding import entry_peers
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import peer_links
 from gentianpoint_entry.forwarding import targets
@@ -50,7 +50,7 @@
     def __init__(self, sender: "Entry", receiver: "Entry") -> None:
         self.sender: typing.Final = sender
         self.receiver: typing.Final = receiver
-        self.news: typing.Final = fleet_news.LinkNews(trio.current_time())
+        self.news: typing.Final = gossip_state.LinkState(trio.current_time())
 
 
 class Entry:
@@ -63,8 +63,8 @@
         self.table: typing.Final = members.MemberTable(
             self.address, data_centre
         )
-        self.news: typing.Final = fleet_news.FleetNews(self.table)
-        self.news.take_report = self._take_report
+        self.news: typing.Final = gossip_state.GossipState(self.table)
+        self.news.handle_report = self._take_report
         self.fleet: typing.Final = fleet
         self.links: typing.Final[dict[str, Link]] = {}
         self.seeds: tuple[str, ...] = ()
@@ -72,15 +72,15 @@
         self.heard_at: typing.Final[dict[str, float]] = {}
         self.follower: typing.Optional[topic_follower.TopicFollower] = None
         self.is_stopped = False
-        self._clock: typing.Final = fleet_news.LinkNews(0.0)
+        self._clock: typing.Final = gossip_state.LinkState(0.0)
         self.sent = 0
         self.sent_bytes = 0
 
     def follow(
         self,
         topic: ports.KeyedTopic,
-        reader: topic_follower.RecordReader,
-        pace: topic_follower.ReadingPace,
+        reader: topic_follower.RecordConsumer,
+        pace: topic_follower.PollTiming,
     ) -> None:
         """Follow the log's topic together with the others."""
         self.follower = topic_follower.TopicFollower(
@@ -89,7 +89,7 @@
             reader,
             pace,
             lambda: (),
-            entry_peers.read_rank(self.news, TOPIC),
+            entry_peers.make_rank_lookup(self.news, TOPIC),
         )
         self.news.add_topic(self.follower)
 
--- a/packages/gentianpoint-entry/features/forwarding/fleet_log.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_log.py
@@ -62,23 +62,23 @@
         return await self._log.read(self._address, start, wait_ms)
 
 
-class MomentsReader(topic_follower.RecordReader):
+class MomentsReader(topic_follower.RecordConsumer):
     """Notes when it was first given each key."""
 
     def __init__(self) -> None:
         self.moments: typing.Final[dict[str, float]] = {}
         self.outages = 0
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Take a whole state."""
         for record in records:
-            self.take_change(record)
+            self.apply_change(record)
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one record."""
         self.moments.setdefault(record.key, trio.current_time())
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Count the times that the log was away."""
         self.outages += not is_available
 
@@ -86,7 +86,7 @@
 class ReadingFleet:
     """Entries that follow one topic together."""
 
-    def __init__(self, count: int, pace: topic_follower.ReadingPace) -> None:
+    def __init__(self, count: int, pace: topic_follower.PollTiming) -> None:
         self.log: typing.Final = FleetLog()
         self.fleet: typing.Final = fleet_builders.Fleet(count)
         self.readers: typing.Final[dict[str, MomentsReader]] = {}
--- a/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
@@ -58,7 +58,10 @@
 ) -> list[tuple[Generation, forwarding_builders.NotedAnswer]]:
     """Serve each generation alone, and return what its caller received."""
     return [
-        (generation, topic_builders.run_on_clock(_serve, generation, leave_ms))
+        (
+            generation,
+            topic_builders.run_on_mock_clock(_serve, generation, leave_ms),
+        )
         for generation in generations
     ]
 
@@ -94,7 +97,7 @@
 ) -> list[float]:
     """Return when callers that a leaving entry refuses are to come back."""
     return [
-        topic_builders.run_on_clock(
+        topic_builders.run_on_mock_clock(
             _refuse, near, far, leave_ms, needed_ms, seed
         )
         for seed in range(_COUNT)
--- a/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
@@ -52,7 +52,7 @@
         context.has_waited_on = scope.cancelled_caught
         context.took_ms = (trio.current_time() - began) * 1000
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("it still waits after ten seconds")
--- a/packages/gentianpoint-entry/features/forwarding/steps/agent_watch_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/agent_watch_steps.py
@@ -24,7 +24,7 @@
     table = members.MemberTable(address, "north")
     for other in addresses:
         if other != address:
-            table.take(members.Member(other, "north", 1), _NOW)
+            table.merge(members.Member(other, "north", 1), _NOW)
     return agent_watch.AgentWatch(table)
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
@@ -75,7 +75,7 @@
             route, forwarding_builders.ENGINE
         )
 
-    return topic_builders.run_on_clock(make)
+    return topic_builders.run_on_mock_clock(make)
 
 
 @behave.when("{tokens:d} prompt tokens were sent to {name} since its report")
@@ -197,7 +197,7 @@
         )
         return choose(shared, request)
 
-    chosen = topic_builders.run_on_clock(run)
+    chosen = topic_builders.run_on_mock_clock(run)
     context.backup = "none" if chosen is None else chosen.target_id
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -8,7 +8,7 @@
 from gentianpoint_core import ports
 from gentianpoint_entry.forwarding import engine_announcements
 from gentianpoint_entry.forwarding import entry_peers
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import target_listing
@@ -57,8 +57,10 @@
         self._announcements = engine_announcements.EngineAnnouncements(
             listing, lambda: table
         )
-        news = fleet_news.FleetNews(members.MemberTable(address, "north"))
-        self.peers = entry_peers.EntryPeers(news, seeds, self._take)
+        gossip = gossip_state.GossipState(
+            members.MemberTable(address, "north")
+        )
+        self.peers = entry_peers.EntryPeers(gossip, seeds, self._take)
 
     def _take(self, message) -> None:
         self._announcements.take(message)
--- a/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
@@ -41,7 +41,7 @@
                 await action(context.fleet)
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("each entry counts {count:d} members")
@@ -114,7 +114,7 @@
         sum(
             passed_ms is not None
             for is_near in (True, False)
-            for passed_ms in entry.table.list_leaving_for_ms(
+            for passed_ms in entry.table.list_leaving_durations_ms(
                 now, is_near=is_near
             )
         )
@@ -227,7 +227,7 @@
 def make_table(context, beat):
     context.members = members.MemberTable("10.0.0.1:80", "north")
     context.members.tick(1.0)
-    context.members.take(members.Member("10.0.0.1:80", "north", beat), 1.1)
+    context.members.merge(members.Member("10.0.0.1:80", "north", beat), 1.1)
 
 
 @behave.given("a table of {count:d} members that have just been heard")
@@ -235,7 +235,7 @@
     context.members = members.MemberTable("10.0.0.1:80", "north")
     for number in range(count - 1):
         address = f"10.1.{number // 200}.{number % 200}:80"
-        context.members.take(members.Member(address, "north", 1), 10.0)
+        context.members.merge(members.Member(address, "north", 1), 10.0)
 
 
 @behave.when("nothing is heard for {seconds:d} seconds")
--- a/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
@@ -39,7 +39,7 @@
             await handling.give_up_unanswered()
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("the caller has the whole answer")
@@ -84,7 +84,7 @@
         await handling.serve(request, context.answer)
 
     with testing.capture_logs() as lines:
-        topic_builders.run_on_clock(run)
+        topic_builders.run_on_mock_clock(run)
     context.lines = lines
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry.forwarding import agent_feeds
 from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import entry_peers
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import peer_links
 from gentianpoint_entry.forwarding import routes
@@ -67,21 +67,21 @@
     @hypothesis.given(make_rows(kinds))
     def check(rows):
         with testing.capture_logs():
-            topic_builders.run_on_clock(functools.partial(bring, rows))
+            topic_builders.run_on_mock_clock(functools.partial(bring, rows))
 
     check()
 
 
-class IdleReader(topic_follower.RecordReader):
+class IdleReader(topic_follower.RecordConsumer):
     """Takes records and does nothing with them."""
 
-    def take_newest(self, records):
+    def apply_snapshot(self, records):
         """Take the newest records."""
 
-    def take_change(self, record):
+    def apply_change(self, record):
         """Take a change."""
 
-    def note_source(self, *, is_available):
+    def note_log_availability(self, *, is_available):
         """Learn nothing."""
 
 
@@ -90,14 +90,14 @@
         TOPIC,
         topic_builders.FakeTopic(2),
         IdleReader(),
-        topic_follower.make_waiting_pace(2000),
-        lambda: peers.list_topics(TOPIC),
+        topic_follower.make_long_poll_timing(2000),
+        lambda: peers.list_peer_topics(TOPIC),
         lambda: 1,
     )
 
 
 async def bring_to_peers(rows):
-    news = fleet_news.FleetNews(members.MemberTable(ADDRESS, "north"))
+    news = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
     peers = entry_peers.EntryPeers(news, ())
     follower = make_follower(peers)
     news.add_topic(follower)
@@ -114,11 +114,11 @@
         nursery.cancel_scope.cancel()
     # Others are told, and are connected to.
     other = peer_builders.ScriptedConnection(())
-    message = news.collect(fleet_news.LinkNews(trio.current_time()))
+    message = news.collect(gossip_state.LinkState(trio.current_time()))
     if message is not None:
         await other.send(message)
     news.members.choose_neighbours(())
-    entry_peers.read_rank(news, TOPIC)()
+    entry_peers.make_rank_lookup(news, TOPIC)()
 
 
 @behave.then(
@@ -134,7 +134,7 @@
     target = board.put_entry(
         forwarding_builders.make_entry("a", born_ms=0), trio.current_time()
     )
-    news = fleet_news.FleetNews(members.MemberTable(ADDRESS, "north"))
+    news = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
     feeds = agent_feeds.AgentFeeds(board, lambda _: AGENT, news)
     connection = peer_builders.ScriptedConnection(rows)
     try:
@@ -159,7 +159,7 @@
     news.tick()
     for report in [target.report] if target.report else ():
         news.put_report(AGENT, report)
-    message = news.collect(fleet_news.LinkNews(trio.current_time()))
+    message = news.collect(gossip_state.LinkState(trio.current_time()))
     if message is not None:
         await connection.send(message)
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/shared_readings_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/shared_readings_steps.py
@@ -15,8 +15,8 @@
 _PHASE_S = 0.097
 _READ_ON_S = 3.0
 _PACES = {
-    "waiting": topic_follower.make_waiting_pace,
-    "pausing": topic_follower.make_pausing_pace,
+    "waiting": topic_follower.make_long_poll_timing,
+    "pausing": topic_follower.make_short_poll_timing,
 }
 
 
@@ -38,7 +38,7 @@
             await action(fleet)
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.when("they follow it for {seconds:d} seconds")
@@ -151,7 +151,7 @@
         "topic",
         topic_builders.SleepyTopic(1),
         context.reader,
-        topic_follower.make_pausing_pace(4000),
+        topic_follower.make_short_poll_timing(4000),
         lambda: (),
     )
 
@@ -164,12 +164,12 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.follower.run)
             await trio.sleep(2.5)
-            context.follower.offer(other, topic_follower.TopicNews(2, 1.5))
+            context.follower.offer(other, topic_follower.TopicProgress(2, 1.5))
             await trio.sleep(0.1)
             context.keys = set(context.reader.keys)
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("it has record 1 at once")
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -118,7 +118,7 @@
             nursery.cancel_scope.cancel()
 
     with testing.capture_logs() as lines:
-        topic_builders.run_on_clock(run)
+        topic_builders.run_on_mock_clock(run)
     context.lines = lines
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
@@ -34,7 +34,7 @@
             [data[place : place + size] for place in range(0, len(data), size)]
         )
 
-    context.events = topic_builders.run_on_clock(read)
+    context.events = topic_builders.run_on_mock_clock(read)
 
 
 @behave.then("3 events are read, with the numbers 1 to 3 and the same bytes")
--- a/packages/gentianpoint-entry/features/forwarding/steps/target_board_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_board_steps.py
@@ -32,7 +32,7 @@
         )
         shared.note_refusal(context.first, answer)
 
-    topic_builders.run_on_clock(note)
+    topic_builders.run_on_mock_clock(note)
 
 
 @behave.then("a gets no more work")
@@ -114,18 +114,18 @@
 def return_without(context, then):
     async def run():
         listing = context.listing
-        listing.take_newest(make_records("ab"))
-        listing.note_source(is_available=False)
+        listing.apply_snapshot(make_records("ab"))
+        listing.note_log_availability(is_available=False)
         await trio.sleep(5)
-        listing.take_newest(make_records("b"))
-        listing.note_source(is_available=True)
+        listing.apply_snapshot(make_records("b"))
+        listing.note_log_availability(is_available=True)
         await trio.sleep(0.5)
         if "writes" in then:
-            listing.take_change(make_records("a")[0])
+            listing.apply_change(make_records("a")[0])
         await trio.sleep(3.5 if "four" in then else 0.5)
-        listing.note_source(is_available=True)
+        listing.note_log_availability(is_available=True)
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("a is still listed")
@@ -149,8 +149,8 @@
 
 
 def read_list(context, names):
-    context.listing.take_newest(make_records(names))
-    context.listing.note_source(is_available=True)
+    context.listing.apply_snapshot(make_records(names))
+    context.listing.note_log_availability(is_available=True)
 
 
 def announce(context):
@@ -163,7 +163,7 @@
         read_list(context, "")
         announce(context)
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("a is used at once")
@@ -177,7 +177,7 @@
     async def run():
         read_list(context, "a")
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
     assert context.board.find("a") is context.first
     assert not context.first.is_gone
 
@@ -191,11 +191,11 @@
         for _ in range(seconds):
             await trio.sleep(1)
             if "away" in then:
-                context.listing.note_source(is_available=False)
+                context.listing.note_log_availability(is_available=False)
             else:
                 read_list(context, "")
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.when("target a was listed and dropped, and is announced then")
@@ -206,7 +206,7 @@
         read_list(context, "")
         announce(context)
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("a is gone for good")
@@ -232,7 +232,7 @@
         read_list(context, "")
         announce(context)
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("a is used once the list names it")
@@ -240,5 +240,5 @@
     async def run():
         read_list(context, "a")
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
     assert context.board.find("a").takes_work()
--- a/packages/gentianpoint-entry/features/forwarding/steps/topic_follower_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/topic_follower_steps.py
@@ -7,7 +7,7 @@
 
 from gentianpoint_entry.forwarding import topic_follower
 
-_PACE = topic_follower.make_pausing_pace(1200)
+_PACE = topic_follower.make_short_poll_timing(1200)
 _PHASE_S = 5.0
 
 
@@ -46,7 +46,7 @@
             await trio.sleep(_PHASE_S)
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.when("the log turns this entry away")
@@ -79,7 +79,7 @@
             nursery.cancel_scope.cancel()
 
     with testing.capture_logs() as context.lines:
-        topic_builders.run_on_clock(run)
+        topic_builders.run_on_mock_clock(run)
 
 
 def find_lines(context, event):
@@ -139,7 +139,7 @@
 
 @behave.when("a record is written that is to be here within {within_ms:d} ms")
 def write_waiting(context, within_ms):
-    write_record(context, topic_follower.make_waiting_pace(within_ms))
+    write_record(context, topic_follower.make_long_poll_timing(within_ms))
 
 
 @behave.when(
@@ -147,7 +147,7 @@
     " {within_ms:d} ms"
 )
 def write_pausing(context, within_ms):
-    write_record(context, topic_follower.make_pausing_pace(within_ms))
+    write_record(context, topic_follower.make_short_poll_timing(within_ms))
 
 
 def write_record(context, pace):
@@ -173,7 +173,7 @@
             context.took_ms = (trio.current_time() - written_at) * 1000
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("the record is here within {within_ms:d} ms")
--- a/packages/gentianpoint-entry/features/forwarding/topic_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/topic_builders.py
@@ -75,30 +75,30 @@
         raise ports.RecordsExpiredError("only the newest is kept")
 
 
-class NotingReader(topic_follower.RecordReader):
+class NotingReader(topic_follower.RecordConsumer):
     """Notes what it is given."""
 
     def __init__(self) -> None:
         self.keys: set[str] = set()
         self.states: list[set[str]] = []
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Note a whole state."""
         self.keys = {record.key for record in records}
         self.states.append(set(self.keys))
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Note one record."""
         if record.value is None:
             self.keys.discard(record.key)
         else:
             self.keys.add(record.key)
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Learn whether the log serves this entry."""
 
 
-def run_on_clock(
+def run_on_mock_clock(
     function: abc.Callable[..., abc.Awaitable[typing.Any]], *args: typing.Any
 ) -> typing.Any:
     """Run an async function on a clock that jumps over waits."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_feeds.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_feeds.py
@@ -16,7 +16,7 @@
 from gentianpoint_entry.forwarding import agent_turns
 from gentianpoint_entry.forwarding import agent_watch
 from gentianpoint_entry.forwarding import engine_reports
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("AgentFeeds",)
@@ -51,14 +51,14 @@
         self,
         board: targets.TargetBoard,
         find_agent: FindAgent,
-        news: fleet_news.FleetNews,
+        gossip: gossip_state.GossipState,
     ) -> None:
-        """Follow ``board``; exchange reports with the members of ``news``."""
+        """Follow ``board``; exchange reports through ``gossip``."""
         self._board: typing.Final = board
         self._find_agent: typing.Final = find_agent
-        self._news: typing.Final = news
-        news.take_report = self.take_passed_on
-        self._watch: typing.Final = agent_watch.AgentWatch(news.members)
+        self._gossip: typing.Final = gossip
+        gossip.handle_report = self.take_passed_on
+        self._watch: typing.Final = agent_watch.AgentWatch(gossip.members)
         self._feeds: typing.Final[dict[targets.Target, _Feed]] = {}
         self._by_agent: typing.Final[dict[str, targets.Target]] = {}
         self._hurry = trio.Event()
@@ -186,7 +186,7 @@
             raise peer_connections.PeerConnectionError(
                 "decode message", agent, str(error)
             ) from error
-        self._news.put_report(agent, report)
+        self._gossip.put_report(agent, report)
         self._apply(target, report)
 
     def _apply(
@@ -217,6 +217,6 @@
         peer_connections.log_loss(error)
         if target.report is None or target.report.is_leaving:
             return
-        if not self._news.passes_reports():
+        if not self._gossip.relays_reports():
             # Nobody else brings reports; old figures mislead more than none.
             target.report = None
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_watch.py
@@ -50,7 +50,7 @@
         report = target.report
         if target.open_requests and report is not None and report.is_leaving:
             return True
-        if len(self._members.list_live()) <= members.MOST_DIRECT:
+        if len(self._members.list_live()) <= members.MAX_FULL_MESH_PEERS:
             return True
         allowed = float(_WATCHERS)
         quiet_s = now - target.heard_at - _QUIET_S
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
@@ -17,15 +17,15 @@
 from gentianpoint_core import peer_sockets
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import peer_links
 from gentianpoint_entry.forwarding import ranking
 
-__all__ = ("SEND_S", "EntryPeers", "read_rank")
+__all__ = ("MAX_SEND_INTERVAL_S", "EntryPeers", "make_rank_lookup")
 
 _LOOK_S: typing.Final = 0.25
 """Pause between looks at which connections there should be."""
-SEND_S: typing.Final = 0.25
+MAX_SEND_INTERVAL_S: typing.Final = 0.25
 """Longest pause after which a connection is sent what it lacks. Reports of
 engines are that much older at each entry on their way."""
 _FIRST_RETRY_S: typing.Final = 0.4
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        news: fleet_news.FleetNews,
+        news: gossip_state.GossipState,
         seeds: abc.Sequence[str],
         take_engine: abc.Callable[[_Message], None] = _ignore_engine,
     ) -> None:
@@ -100,7 +100,7 @@
         """
         return max(self._news.members.count(), len(self._seeds) + 1)
 
-    def count_sharing(self) -> int:
+    def count_budget_sharers(self) -> int:
         """Return how many entries share what is allowed to all together.
 
         It is 0 until another entry was heard of, if there should be any:
@@ -111,7 +111,7 @@
             return 0
         return self.count_entries()
 
-    def list_topics(self, name: str) -> abc.Sequence[ports.KeyedTopic]:
+    def list_peer_topics(self, name: str) -> abc.Sequence[ports.KeyedTopic]:
         """Return a topic as each connected entry holds it."""
         return [
             peer_links.PeerTopic(link, name)
@@ -213,7 +213,7 @@
             message = self._news.collect(link.news)
             if message is not None:
                 await link.connection.send(message)
-            await self._news.wait_urgent(link.news, SEND_S)
+            await self._news.wait_urgent(link.news, MAX_SEND_INTERVAL_S)
 
     def _is_double(self, link: peer_links.PeerLink) -> bool:
         """Tell whether this entry is to close a second connection.
@@ -288,7 +288,9 @@
                 peer_connections.log_loss(error)
 
 
-def read_rank(news: fleet_news.FleetNews, topic: str) -> abc.Callable[[], int]:
+def make_rank_lookup(
+    news: gossip_state.GossipState, topic: str
+) -> abc.Callable[[], int]:
     """Return what tells how many entries read ``topic`` before this one."""
     ranks: dict[int, int] = {}
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/fleet_news.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
@@ -20,7 +20,7 @@
 from gentianpoint_entry.forwarding import targets
 from gentianpoint_entry.forwarding import topic_follower
 
-__all__ = ("FleetNews", "LinkNews")
+__all__ = ("GossipState", "LinkState")
 
 _REPORT_KEPT_S: typing.Final = 4.0
 """Age from which a report is dropped: agents send one a second at least."""
@@ -30,7 +30,7 @@
 _NO_MOMENT_MS: typing.Final = -1
 _Message = abc.Mapping[str, typing.Any]
 
-TakeReport = abc.Callable[[str, targets.EngineReport], None]
+HandleReport = abc.Callable[[str, targets.EngineReport], None]
 """Takes the report of the engine whose agent listens at an address."""
 
 
@@ -38,7 +38,7 @@
     """Leave a report to whoever asks for it."""
 
 
-class LinkNews:
+class LinkState:
     """What one connection has brought and been given."""
 
     def __init__(self, now: float) -> None:
@@ -49,16 +49,16 @@
         self.reports_seen = 0
         self.beats: typing.Final[dict[str, int]] = {}
         self.reports: typing.Final[dict[str, tuple[int, int]]] = {}
-        self.topics: typing.Final[dict[str, topic_follower.TopicNews]] = {}
+        self.topics: typing.Final[dict[str, topic_follower.TopicProgress]] = {}
 
 
-class FleetNews:
+class GossipState:
     """All news that this entry has."""
 
     def __init__(self, table: members.MemberTable) -> None:
         """Exchange news with the members of ``table``."""
         self.members: typing.Final = table
-        self.take_report: TakeReport = _drop_report
+        self.handle_report: HandleReport = _drop_report
         self._reports: typing.Final = change_log.ChangeLog[
             targets.EngineReport
         ]()
@@ -112,7 +112,7 @@
         self._urgent.set()
         self._urgent = trio.Event()
 
-    async def wait_urgent(self, link: LinkNews, within_s: float) -> None:
+    async def wait_urgent(self, link: LinkState, within_s: float) -> None:
         """Return after ``within_s``, or when there is urgent news.
 
         What became urgent while the connection was sent the news before
@@ -123,7 +123,7 @@
                 await self._urgent.wait()
         link.urgent_seen = self._urgent_count
 
-    def collect(self, link: LinkNews) -> typing.Optional[_Message]:
+    def collect(self, link: LinkState) -> typing.Optional[_Message]:
         """Return the message with all that a connection lacks, if any."""
         now = trio.current_time()
         strangers, beats, leaving = self._collect_members(link)
@@ -143,7 +143,7 @@
         }
 
     def _collect_members(
-        self, link: LinkNews
+        self, link: LinkState
     ) -> tuple[
         abc.Sequence[_Message], abc.Mapping[str, int], abc.Sequence[str]
     ]:
@@ -168,17 +168,17 @@
         link.members_seen = self.members.changes
         return strangers, beats, leaving
 
-    def passes_reports(self) -> bool:
+    def relays_reports(self) -> bool:
         """Tell whether entries tell each other of engines.
 
         Of a few entries each is connected to all agents.
         """
-        return len(self.members.list_live()) > members.MOST_DIRECT
+        return len(self.members.list_live()) > members.MAX_FULL_MESH_PEERS
 
     def _collect_reports(
-        self, link: LinkNews, now: float
+        self, link: LinkState, now: float
     ) -> abc.Sequence[_Message]:
-        if not self.passes_reports():
+        if not self.relays_reports():
             return []
         rows = []
         changed = self._reports.list_since(link.reports_seen)
@@ -192,7 +192,7 @@
         return rows
 
     def _collect_topics(
-        self, link: LinkNews, now: float
+        self, link: LinkState, now: float
     ) -> abc.Sequence[_Message]:
         rows = []
         for name, follower in self._topics.items():
@@ -212,8 +212,8 @@
         return rows
 
     def take(
-        self, link: LinkNews, message: _Message
-    ) -> abc.Sequence[tuple[str, topic_follower.TopicNews]]:
+        self, link: LinkState, message: _Message
+    ) -> abc.Sequence[tuple[str, topic_follower.TopicProgress]]:
         """Take a message; return what it tells of topics, by their names."""
         now = trio.current_time()
         delay_s = link.delay.measure_s(message["clock_ms"] / 1000, now)
@@ -243,17 +243,17 @@
         ]
 
     def _take_member(
-        self, link: LinkNews, member: members.Member, now: float
+        self, link: LinkState, member: members.Member, now: float
     ) -> None:
         known_beat = link.beats.get(member.address, 0)
         link.beats[member.address] = max(member.beat, known_beat)
         known = self.members.find(member.address)
         is_notice = member.is_leaving and not (known and known.is_leaving)
-        if self.members.take(member, now) and is_notice:
+        if self.members.merge(member, now) and is_notice:
             self.hurry()
 
     def _take_engine(
-        self, link: LinkNews, row: _Message, sent_at: float
+        self, link: LinkState, row: _Message, sent_at: float
     ) -> None:
         report = engine_reports.unpack_report(row["row"], sent_at)
         if report is None:
@@ -263,13 +263,13 @@
         if trio.current_time() - report.received_at > _REPORT_KEPT_S:
             return
         if self.put_report(agent, report):
-            self.take_report(agent, report)
+            self.handle_report(agent, report)
 
     @staticmethod
     def _take_topic(
-        link: LinkNews, row: _Message, sent_at: float
-    ) -> topic_follower.TopicNews:
-        news = topic_follower.TopicNews(
+        link: LinkState, row: _Message, sent_at: float
+    ) -> topic_follower.TopicProgress:
+        news = topic_follower.TopicProgress(
             row["end"],
             _find_moment(sent_at, row["confirmed_ms_ago"]),
         )
@@ -286,8 +286,8 @@
 
 
 def _is_news(
-    news: topic_follower.TopicNews,
-    known: typing.Optional[topic_follower.TopicNews],
+    news: topic_follower.TopicProgress,
+    known: typing.Optional[topic_follower.TopicProgress],
 ) -> bool:
     if known is None or news.end > known.end:
         return True
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
@@ -14,11 +14,11 @@
 from gentianpoint_entry.forwarding import ranking
 
 __all__ = (
-    "MOST_DIRECT",
+    "MAX_FULL_MESH_PEERS",
     "Member",
     "MemberTable",
-    "count_opened",
-    "measure_beat_s",
+    "count_outbound_links",
+    "compute_beat_interval_s",
 )
 
 _BEAT_S_PER_MEMBER: typing.Final = 0.05
@@ -34,7 +34,7 @@
 targets."""
 _SHORTEST_KEPT_S: typing.Final = 60.0
 """The same in time, where beats come often."""
-MOST_DIRECT: typing.Final = 6
+MAX_FULL_MESH_PEERS: typing.Final = 6
 """Other entries up to which all are connected to each other."""
 _NEAR_LINKS: typing.Final = 2
 """Connections that an entry opens to others in its data centre."""
@@ -44,15 +44,15 @@
 don't hear each other is small with three each."""
 
 
-def count_opened() -> int:
+def count_outbound_links() -> int:
     """Return how many connections an entry of many opens to others."""
     return _NEAR_LINKS + _FAR_LINKS
 
 
-def measure_beat_s(count: int) -> float:
+def compute_beat_interval_s(count: int) -> float:
     """Return the time between two beats of one of ``count`` members.
 
-    >>> measure_beat_s(100)
+    >>> compute_beat_interval_s(100)
     5.0
     """
     return max(_SHORTEST_BEAT_S, count * _BEAT_S_PER_MEMBER)
@@ -97,19 +97,19 @@
 
     def tick(self, now: float) -> None:
         """Beat if it is time, and forget who is long gone."""
-        if now - self._beat_at >= measure_beat_s(len(self._heard)):
+        if now - self._beat_at >= compute_beat_interval_s(len(self._heard)):
             self._beat_at = now
             own = self._heard.find(self.address)
             assert own is not None
             self._put(own.member._replace(beat=own.member.beat + 1), now)
-        kept_s = measure_beat_s(len(self._heard)) * _KEPT_BEATS
+        kept_s = compute_beat_interval_s(len(self._heard)) * _KEPT_BEATS
         kept_s = max(_SHORTEST_KEPT_S, kept_s)
         for address, heard in self._heard.list_all():
             if now - heard.at > kept_s and address != self.address:
                 self._heard.drop(address)
         self._note_live(now)
 
-    def take(self, member: Member, now: float) -> bool:
+    def merge(self, member: Member, now: float) -> bool:
         """Take what another entry has heard; False if it is nothing new."""
         known = self._heard.find(member.address)
         if known is not None and member.beat <= known.member.beat:
@@ -131,7 +131,7 @@
             own.member._replace(beat=own.member.beat + 1, is_leaving=True), now
         )
 
-    def list_leaving_for_ms(
+    def list_leaving_durations_ms(
         self, now: float, *, is_near: bool
     ) -> abc.Sequence[typing.Optional[float]]:
         """Return for each live member how long it has been leaving.
@@ -177,7 +177,7 @@
 
         Of a few entries all are, the lower address of two to the higher.
         """
-        if len(self._live) <= MOST_DIRECT + 1:
+        if len(self._live) <= MAX_FULL_MESH_PEERS + 1:
             return [
                 address
                 for address in self._live
@@ -185,7 +185,7 @@
             ]
         near, far = self._rank_neighbours()
         chosen = [item for item in near if item not in avoided][:_NEAR_LINKS]
-        wanted = count_opened() - len(chosen)
+        wanted = count_outbound_links() - len(chosen)
         chosen += [item for item in far if item not in avoided][:wanted]
         return chosen
 
@@ -212,7 +212,7 @@
         self._heard.put(member.address, _Heard(member, now, since))
 
     def _note_live(self, now: float) -> None:
-        live_s = measure_beat_s(len(self._heard)) * _LIVE_BEATS
+        live_s = compute_beat_interval_s(len(self._heard)) * _LIVE_BEATS
         live = frozenset(
             address
             for address, heard in self._heard.list_all()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
@@ -12,7 +12,7 @@
 
 from gentianpoint_core import peer_connections
 from gentianpoint_core import ports
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import topic_follower
 
 __all__ = ("PeerLink", "PeerTopic", "find_records")
@@ -34,7 +34,7 @@
         self.connection: typing.Final = connection
         self.is_dialled: typing.Final = is_dialled
         self.address = ""
-        self.news: typing.Final = fleet_news.LinkNews(trio.current_time())
+        self.news: typing.Final = gossip_state.LinkState(trio.current_time())
         self._numbers: typing.Final = itertools.count(1)
         self._waiting: typing.Final[
             dict[int, trio.MemorySendChannel[_Message]]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
@@ -20,7 +20,7 @@
 """Returns the table of a record; None when it is no configuration."""
 
 
-class RouteUpdates(topic_follower.RecordReader):
+class RouteUpdates(topic_follower.RecordConsumer):
     """Holds the table in force, which never goes back to an older one."""
 
     def __init__(self, decode: DecodeTable) -> None:
@@ -37,12 +37,12 @@
         """
         return deadlines.measure_ms_since(self._confirmed_at)
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Take the newest version."""
         for record in records:
-            self.take_change(record)
+            self.apply_change(record)
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Put a version in force, unless it is older than the one here."""
         if record.value is None:
             return
@@ -58,7 +58,7 @@
             offset=record.offset,
         )
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Keep what is in force: it holds also while the log is away."""
         if is_available:
             self._confirmed_at = trio.current_time()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -36,7 +36,7 @@
 idle targets."""
 
 
-class TargetListing(topic_follower.RecordReader):
+class TargetListing(topic_follower.RecordConsumer):
     """Turns records of the list into targets."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._is_available = True
         self.has_read = False
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Take the whole list."""
         listed = set()
         for record in records:
@@ -93,12 +93,12 @@
             service=entry.service,
         )
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one target's entry, or its removal."""
         if record.value is None or not self._put(record):
             self._drop(record.key)
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Settle what lapsed during an outage once its end is past."""
         now = trio.current_time()
         if not is_available or not self._is_available:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
@@ -21,12 +21,12 @@
 from gentianpoint_entry.forwarding import shared_readings
 
 __all__ = (
-    "ReadingPace",
-    "RecordReader",
-    "TopicNews",
+    "PollTiming",
+    "RecordConsumer",
+    "TopicProgress",
     "TopicFollower",
-    "make_pausing_pace",
-    "make_waiting_pace",
+    "make_short_poll_timing",
+    "make_long_poll_timing",
 )
 
 _PAUSES_S: typing.Final = (0.2, 0.4, 0.8)
@@ -63,7 +63,7 @@
 quick succession gather."""
 
 
-class ReadingPace(typing.NamedTuple):
+class PollTiming(typing.NamedTuple):
     """How often a topic is read, and for how long one reading is waited for.
 
     All follows from one figure, the time in which a record is to be here
@@ -87,7 +87,7 @@
         return self.pause_s + self.wait_ms / 1000
 
 
-def make_waiting_pace(within_ms: float) -> ReadingPace:
+def make_long_poll_timing(within_ms: float) -> PollTiming:
     """Return the pace for a topic whose records come seldom.
 
     The log holds each reading until there is a record. A reading that
@@ -95,7 +95,7 @@
     record, so each is short enough for the next one to bring the record
     within ``within_ms`` of its writing.
 
-    >>> make_waiting_pace(2000).wait_ms
+    >>> make_long_poll_timing(2000).wait_ms
     600
     """
     return _make_pace(
@@ -103,20 +103,20 @@
     )
 
 
-def make_pausing_pace(within_ms: float) -> ReadingPace:
+def make_short_poll_timing(within_ms: float) -> PollTiming:
     """Return the pace for a topic that always has something new.
 
     The log would answer a waiting reading at once, again and again. A pause
     gathers the records, and leaves as much time again for the answer.
 
-    >>> make_pausing_pace(2000).pause_s
+    >>> make_short_poll_timing(2000).pause_s
     0.9
     """
     return _make_pace(within_ms, 0, within_ms * _PAUSE_SHARE / 1000)
 
 
-def _make_pace(within_ms: float, wait_ms: int, pause_s: float) -> ReadingPace:
-    return ReadingPace(
+def _make_pace(within_ms: float, wait_ms: int, pause_s: float) -> PollTiming:
+    return PollTiming(
         wait_ms,
         pause_s,
         within_ms * _CALL_SHARE,
@@ -125,7 +125,7 @@
     )
 
 
-class TopicNews(typing.NamedTuple):
+class TopicProgress(typing.NamedTuple):
     """How far an entry has a topic."""
 
     end: int
@@ -136,24 +136,24 @@
 
 class _Offer(typing.NamedTuple):
     topic: ports.KeyedTopic
-    news: TopicNews
+    news: TopicProgress
 
 
-class RecordReader(abc.ABC):
+class RecordConsumer(abc.ABC):
     """Takes the records of a topic."""
 
     @abc.abstractmethod
-    def take_newest(
+    def apply_snapshot(
         self, records: collections_abc.Sequence[ports.KeyedRecord]
     ) -> None:
         """Take the newest record of every key; others have been dropped."""
 
     @abc.abstractmethod
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one record."""
 
     @abc.abstractmethod
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Learn whether the log serves this process now."""
 
 
@@ -168,8 +168,8 @@
         self,
         name: str,
         topic: ports.KeyedTopic,
-        reader: RecordReader,
-        pace: ReadingPace,
+        reader: RecordConsumer,
+        pace: PollTiming,
         list_peers: collections_abc.Callable[
             [], collections_abc.Sequence[ports.KeyedTopic]
         ],
@@ -210,11 +210,11 @@
             nursery.start_soon(self._follow_peers)
             nursery.start_soon(self._take_offers)
 
-    def describe_news(self) -> typing.Optional[TopicNews]:
+    def describe_news(self) -> typing.Optional[TopicProgress]:
         """Return how far the topic is here, None if not at all."""
         if self.next_offset is None:
             return None
-        return TopicNews(self.next_offset, self._turns.confirmed_at)
+        return TopicProgress(self.next_offset, self._turns.confirmed_at)
 
     def is_first(self) -> bool:
         """Tell whether this entry reads the topic all the while."""
@@ -226,7 +226,7 @@
         """Return the records from ``start`` on, None if some are gone."""
         return self._recent.list_from(start)
 
-    def offer(self, topic: ports.KeyedTopic, news: TopicNews) -> None:
+    def offer(self, topic: ports.KeyedTopic, news: TopicProgress) -> None:
         """Learn how far another entry has the topic, as ``topic`` gives it.
 
         Without news there is nothing to do; offers beyond those that wait
@@ -249,7 +249,7 @@
             if await self._read_from_peer(offer.topic):
                 self._take_news(offer.news)
 
-    def _has(self, news: TopicNews) -> bool:
+    def _has(self, news: TopicProgress) -> bool:
         """Tell whether all records that another entry has are here.
 
         Its reading may be older than this entry's last one and have a record
@@ -257,7 +257,7 @@
         """
         return self.next_offset is not None and news.end <= self.next_offset
 
-    def _take_news(self, news: TopicNews) -> None:
+    def _take_news(self, news: TopicProgress) -> None:
         if (
             not self._has(news)
             or news.confirmed_at <= self._turns.confirmed_at
@@ -270,7 +270,7 @@
         ):
             self._note_success()
 
-    def _note_gap(self, news: TopicNews) -> None:
+    def _note_gap(self, news: TopicProgress) -> None:
         """Take the log for having been away if nobody read it for long.
 
         What lapsed meanwhile is no removal yet. An entry that was turned away
@@ -279,7 +279,7 @@
         gap_s = news.confirmed_at - self._turns.confirmed_at
         has_begun = self._turns.confirmed_at > deadlines.NEVER
         if has_begun and gap_s > self._pace.retry_ms / 1000:
-            self._reader.note_source(is_available=False)
+            self._reader.note_log_availability(is_available=False)
 
     def _confirm(self, at: float) -> None:
         """Note that the topic is here as it was read at ``at``.
@@ -393,7 +393,7 @@
             if record.offset >= self.next_offset:
                 self._keep(record)
                 self._recent.append(record)
-                self._reader.take_change(record)
+                self._reader.apply_change(record)
         self.next_offset = max(self.next_offset, found.end)
 
     async def _read_newest(
@@ -408,7 +408,7 @@
         for record in found.records:
             self._keep(record)
         self._recent.restart(found.end)
-        self._reader.take_newest(list(self.newest.values()))
+        self._reader.apply_snapshot(list(self.newest.values()))
         self.next_offset = found.end
 
     def _keep(self, record: ports.KeyedRecord) -> None:
@@ -442,7 +442,7 @@
         )
         self._is_available = False
         self._lost.set()
-        self._reader.note_source(is_available=False)
+        self._reader.note_log_availability(is_available=False)
 
     def _note_success(self) -> None:
         if not self._is_available:
@@ -457,4 +457,4 @@
         self._is_available = True
         self._failures = 0
         self._answered_at = trio.current_time()
-        self._reader.note_source(is_available=True)
+        self._reader.note_log_availability(is_available=True)
