--- a/bench/capacity/platform_path.py
+++ b/bench/capacity/platform_path.py
@@ -31,7 +31,7 @@
 """The smallest and the largest deployments there today, and the target."""
 _ADDRESS: typing.Final = "10.12.100.100:18766"
 _REPORT: typing.Final = targets.EngineReport(
-    received_at=0.0,
+    sampled_at=0.0,
     running=19,
     waiting=3,
     used_tokens=28_480,
@@ -39,10 +39,10 @@
     is_leaving=False,
     leaves_at=None,
     is_silent=False,
-    unread_tokens=13_008,
-    born_ms=1_750_000_000_000,
+    pending_prefill_tokens=13_008,
+    started_ms=1_750_000_000_000,
     agent_run=1_750_000_000,
-    number=10_000,
+    sequence_number=10_000,
 )
 """A report with as many digits as there are under load."""
 
--- a/bench/replay/ablations.py
+++ b/bench/replay/ablations.py
@@ -47,10 +47,10 @@
 
 
 def _drop_turns() -> None:
-    async def wait_turn(*args: typing.Any) -> None:
+    async def wait_for_turn(*args: typing.Any) -> None:
         return None
 
-    _replace(agent_turns.AgentTurns, "wait_turn", wait_turn)
+    _replace(agent_turns.AgentTurns, "wait_for_turn", wait_for_turn)
 
 
 def _drop_reports() -> None:
--- a/bench/replay/fleet.py
+++ b/bench/replay/fleet.py
@@ -45,7 +45,7 @@
 
 
 class Fleet:
-    """The engines of one replay, and the boards of its entries."""
+    """The engines of one replay, and the registries of its entries."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
     ) -> None:
         """Start without engines."""
         self.engines: typing.Final[dict[str, engine.Engine]] = {}
-        self.boards: typing.Final = [
-            targets.TargetBoard() for _ in range(load.entries)
+        self.registries: typing.Final = [
+            targets.TargetRegistry() for _ in range(load.entries)
         ]
         self._load: typing.Final = load
         self._costs: typing.Final = costs
@@ -109,8 +109,8 @@
     async def _take_away(self, item: engine.Engine) -> None:
         item.go()
         await trio.sleep(_UNLISTED_S)
-        for board in self.boards:
-            board.drop(item.name)
+        for registry in self.registries:
+            registry.drop(item.name)
 
     def _start_engine(self, slowness: float, known_after_s: float) -> None:
         number = len(self.engines)
@@ -135,12 +135,12 @@
             data_centre=item.data_centre,
             slots=self._costs.slots,
             is_leaving=False,
-            slow_for_ms=0.0,
-            born_ms=1,
+            slow_start_ms=0.0,
+            started_ms=1,
         )
         seen = []
-        for board in self.boards:
-            target = board.put_entry(entry, trio.current_time())
+        for registry in self.registries:
+            target = registry.put_entry(entry, trio.current_time())
             self._connect_turns(target, turns)
             seen.append(target)
         await self._report(item, seen, turns)
@@ -183,21 +183,21 @@
     async def _note_notice(self) -> None:
         noticed_at = trio.current_time()
         await trio.sleep(self._load.report_lag_s)
-        for board in self.boards:
-            board.note_notice(noticed_at)
+        for registry in self.registries:
+            registry.note_leaving_notice(noticed_at)
 
 
 async def _pass_turns(
     connection: _TurnConnection, turns: agent_turns.AgentTurns
 ) -> None:
     async for request in connection.given:
-        turns.take_turn(request)
+        turns.mark_granted(request)
 
 
 def _make_report(item: engine.Engine) -> targets.EngineReport:
     is_leaving = item.leaves_at < 1e9
     return targets.EngineReport(
-        received_at=trio.current_time(),
+        sampled_at=trio.current_time(),
         running=len(item.batch),
         waiting=len(item.waiting),
         used_tokens=item.used_tokens,
@@ -205,7 +205,7 @@
         is_leaving=is_leaving,
         leaves_at=deadlines.Deadline(item.leaves_at) if is_leaving else None,
         is_silent=False,
-        unread_tokens=_count_unread(item),
+        pending_prefill_tokens=_count_unread(item),
     )
 
 
--- a/bench/replay/playing.py
+++ b/bench/replay/playing.py
@@ -16,8 +16,8 @@
 from bench.replay import loads
 from bench.replay import policies
 from bench.replay import shapes
+from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import forwarder
-from gentianpoint_entry.forwarding import measures
 from gentianpoint_entry.forwarding import request_handling
 from gentianpoint_entry.forwarding import retry_limits
 from gentianpoint_entry.forwarding import routes
@@ -105,13 +105,13 @@
     nursery: trio.Nursery,
 ) -> request_handling.RequestHandling:
     shared: forwarder.Forwarder = policies.POLICIES[policy](
-        engines.boards[number],
+        engines.registries[number],
         calls,
         retry_limits.RetryLimits(_RETRY_RATIO, _RETRY_WINDOW_S, _RETRY_SLACK),
         f"centre-{number % load.data_centres}",
         lambda: load.entries,
         random.Random(seed * 100 + number),
-        measures.Measures(metrics.NoOpMeterProvider()),
+        entry_metrics.EntryMetrics(metrics.NoOpMeterProvider()),
     )
     nursery.start_soon(shared.free_copies)
     return request_handling.RequestHandling(shared, callers.send_refusal)
@@ -125,7 +125,7 @@
     outcomes: list[callers.Outcome],
     seed: int,
 ) -> None:
-    shape = routes.EngineShape(
+    shape = routes.EngineSpec(
         costs.slots,
         costs.memory_tokens,
         can_move=True,
--- a/bench/replay/policies.py
+++ b/bench/replay/policies.py
@@ -67,8 +67,8 @@
     ) -> list[targets.Target]:
         return [
             item
-            for item in self.board.list_of(request.service.name)
-            if item.target_id not in excluded and item.takes_work()
+            for item in self.registry.list_by_service(request.service.name)
+            if item.target_id not in excluded and item.accepts_work()
         ]
 
 
@@ -96,7 +96,7 @@
     ) -> typing.Optional[targets.Target]:
         """Back up as far as there is room."""
         return choice.choose_backup(
-            self.board.list_of(request.service.name),
+            self.registry.list_by_service(request.service.name),
             runner,
             request,
             self.count_entries(),
@@ -122,10 +122,12 @@
         excluded: abc.Collection[str] = (),
     ) -> typing.Optional[targets.Target]:
         """Choose as if no report told of prompts that are unread."""
-        for target in self.board.list_of(request.service.name):
+        for target in self.registry.list_by_service(request.service.name):
             target.prompt_tokens_since_report = 0
             if target.report is not None:
-                target.report = target.report._replace(unread_tokens=0)
+                target.report = target.report._replace(
+                    pending_prefill_tokens=0
+                )
         return super().choose_target(request, excluded)
 
 
--- a/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
@@ -29,7 +29,7 @@
 ) -> targets.EngineReport:
     """Return a report that an agent made at a moment of this clock."""
     return targets.EngineReport(
-        received_at=made_at,
+        sampled_at=made_at,
         running=2,
         waiting=1,
         used_tokens=300,
@@ -37,10 +37,10 @@
         is_leaving=is_leaving,
         leaves_at=None,
         is_silent=False,
-        unread_tokens=40,
-        born_ms=1700000000000,
+        pending_prefill_tokens=40,
+        started_ms=1700000000000,
         agent_run=run,
-        number=number,
+        sequence_number=number,
     )
 
 
--- a/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
@@ -11,8 +11,8 @@
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 from gentianpoint_entry.forwarding import caller_answers
+from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import forwarder
-from gentianpoint_entry.forwarding import measures
 from gentianpoint_entry.forwarding import refusals
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import retry_limits
@@ -27,7 +27,7 @@
 LATE_S: typing.Final = 0.6
 """How much later an event is that is late."""
 
-ENGINE: typing.Final = routes.EngineShape(
+ENGINE: typing.Final = routes.EngineSpec(
     slots=16,
     memory_tokens=10000,
     can_move=True,
@@ -60,7 +60,7 @@
 
 
 def make_request(
-    route: routes.Route, engine: typing.Optional[routes.EngineShape]
+    route: routes.Route, engine: typing.Optional[routes.EngineSpec]
 ) -> requests.CallerRequest:
     """Return a request, inside a run of trio."""
     deadline = deadlines.make_deadline(30000)
@@ -91,8 +91,8 @@
         data_centre=DATA_CENTRE,
         slots=16,
         is_leaving=False,
-        slow_for_ms=0.0,
-        born_ms=1,
+        slow_start_ms=0.0,
+        started_ms=1,
     )
     return entry._replace(**changes)
 
@@ -256,18 +256,18 @@
     retry_slack: float = 20.0,
 ) -> forwarder.Forwarder:
     """Return a forwarder for targets of these names, the first preferred."""
-    board = targets.TargetBoard()
+    registry = targets.TargetRegistry()
     for place, name in enumerate(names):
-        target = board.put_entry(make_entry(name), trio.current_time())
+        target = registry.put_entry(make_entry(name), trio.current_time())
         target.open_requests = place * 4
     return forwarder.Forwarder(
-        board,
+        registry,
         calls,
         retry_limits.RetryLimits(0.2, 10.0, retry_slack),
         DATA_CENTRE,
         lambda: 1,
         random.Random(1),
-        measures.Measures(metrics.NoOpMeterProvider()),
+        entry_metrics.EntryMetrics(metrics.NoOpMeterProvider()),
     )
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
@@ -32,7 +32,7 @@
 
 
 @behave.when("a generation waits for its turn")
-def wait_turn(context):
+def wait_for_turn(context):
     async def run():
         began = trio.current_time()
         turns = agent_turns.AgentTurns(types.SimpleNamespace())
@@ -42,12 +42,12 @@
 
         async def give_turn():
             await trio.sleep(context.turn_s)
-            turns.take_turn("request")
+            turns.mark_granted("request")
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(give_turn)
             with trio.move_on_after(LONGEST_S) as scope:
-                await turns.wait_turn("request", 100, is_heard)
+                await turns.wait_for_turn("request", 100, is_heard)
             nursery.cancel_scope.cancel()
         context.has_waited_on = scope.cancelled_caught
         context.took_ms = (trio.current_time() - began) * 1000
--- a/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
@@ -14,7 +14,7 @@
 
 _NOW = 50.0
 _NOTHING = targets.EngineReport(
-    received_at=_NOW,
+    sampled_at=_NOW,
     running=0,
     waiting=0,
     used_tokens=0,
@@ -22,7 +22,7 @@
     is_leaving=False,
     leaves_at=None,
     is_silent=False,
-    unread_tokens=0,
+    pending_prefill_tokens=0,
 )
 
 
@@ -46,9 +46,9 @@
         case "notice":
             report = report._replace(is_leaving=True)
         case "unread":
-            target.unread_prompt_tokens = int(value)
+            target.own_pending_prefill_tokens = int(value)
         case "reported":
-            report = report._replace(unread_tokens=int(value))
+            report = report._replace(pending_prefill_tokens=int(value))
         case _:
             change_target(target, words)
     target.take_report(report)
@@ -163,7 +163,7 @@
     choose_at_entry(
         context,
         lambda shared, request: shared.choose_backup(
-            request, shared.board.find("a")
+            request, shared.registry.find("a")
         ),
     )
 
@@ -173,7 +173,7 @@
     choose_at_entry(
         context,
         lambda shared, request: shared.choose_room(
-            request, shared.board.find(runner)
+            request, shared.registry.find(runner)
         ),
     )
 
@@ -184,13 +184,13 @@
         calls = forwarding_builders.ScriptedCalls()
         shared = forwarding_builders.make_forwarder([], calls)
         for name in context.engines:
-            target = shared.board.put_entry(
+            target = shared.registry.put_entry(
                 forwarding_builders.make_entry(name), 0.0
             )
             target.take_report(context.engines[name].report)
         if "notice_ago_s" in context:
             noticed_at = trio.current_time() - context.notice_ago_s
-            shared.board.note_notice(noticed_at)
+            shared.registry.note_leaving_notice(noticed_at)
         request = forwarding_builders.make_request(
             forwarding_builders.make_route(routes.RouteKind.STREAM),
             forwarding_builders.ENGINE,
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -44,14 +44,16 @@
     """What an entry needs to take announcements."""
 
     def __init__(self, address: str, seeds: list[str]) -> None:
-        self.board = targets.TargetBoard()
-        listing = target_listing.TargetListing(self.board, lambda record: None)
+        self.registry = targets.TargetRegistry()
+        listing = target_listing.TargetListing(
+            self.registry, lambda record: None
+        )
         listing.has_read = True
         service = routes.Service(
             forwarding_builders.SERVICE, "/", 1, forwarding_builders.ENGINE
         )
         table = routes.RouteTable(
-            1, [], [service], {}, LIMITS, asks_for_keys=False
+            1, [], [service], {}, LIMITS, requires_keys=False
         )
         self.taken = 0
         self._announcements = engine_announcements.EngineAnnouncements(
@@ -61,7 +63,7 @@
         self.peers = entry_peers.EntryPeers(news, seeds, self._take)
 
     def _take(self, message) -> None:
-        self._announcements.take(message)
+        self._announcements.handle_message(message)
         self.taken += 1
 
 
@@ -125,13 +127,13 @@
 @behave.then("both entries use the engine")
 def check_used(context):
     for entry in context.entries:
-        target = entry.board.find("engine-1")
+        target = entry.registry.find("engine-1")
         assert target is not None
-        assert target.takes_work()
+        assert target.accepts_work()
         assert target.entry.address == ENGINE_ADDRESS
         assert target.entry.slots == forwarding_builders.ENGINE.slots
 
 
 @behave.then("no entry uses the engine")
 def check_unused(context):
-    assert not any(entry.board.list_all() for entry in context.entries)
+    assert not any(entry.registry.list_all() for entry in context.entries)
--- a/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
@@ -191,14 +191,18 @@
 def check_unbelieved(context, number):
     play(context)
     others = list(get_entries(context))[1:]
-    assert {entry.reports[AGENT].number for entry in others} == {number + 1}
+    assert {entry.reports[AGENT].sequence_number for entry in others} == {
+        number + 1
+    }
 
 
 @behave.then("all entries believe report {number:d}")
 def check_believed(context, number):
     play(context)
     others = list(get_entries(context))[1:]
-    assert {entry.reports[AGENT].number for entry in others} == {number}
+    assert {entry.reports[AGENT].sequence_number for entry in others} == {
+        number
+    }
 
 
 @behave.when("an entry stops and {seconds:d} seconds pass")
--- a/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
@@ -7,7 +7,7 @@
 import trio
 
 from gentianpoint_core import option_types
-from gentianpoint_entry.forwarding import caller_front
+from gentianpoint_entry.forwarding import entry_server
 from gentianpoint_entry.forwarding import forwarding_entry
 from gentianpoint_entry.forwarding import request_handling
 from gentianpoint_entry.forwarding import routes
@@ -68,24 +68,24 @@
     handling = request_handling.RequestHandling(
         shared,
         forwarding_builders.send_refusal,
-        lambda: front.leaves_at,
+        lambda: server.stops_at,
     )
 
     async def handle(raw, answer):
         request = forwarding_builders.make_request(context.route, None)
         await handling.serve(request, answer)
 
-    front = caller_front.CallerFront(
+    server = entry_server.EntryServer(
         handle, lambda: _LIMITS, lambda: True, context.leave_s
     )
     callers = addresses.reserve_address()
-    listens = caller_front.FrontAddresses(
+    listens = entry_server.ListenAddresses(
         callers, addresses.reserve_address(), addresses.reserve_address()
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             forwarding_entry.run_entry,
-            front,
+            server,
             listens,
             (),
             (),
@@ -99,7 +99,7 @@
             await trio.sleep(0.01)
         signal.raise_signal(signal.SIGTERM)
         for number in context.more_signals:
-            while front.leaves_at is None:
+            while server.stops_at is None:
                 await trio.sleep(0.01)
             signal.raise_signal(number)
         context.data = await read_all(stream)
--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -14,7 +14,7 @@
 from gentianpoint_core import peer_connections
 from gentianpoint_core import peer_sockets
 from gentianpoint_core.generated import messages
-from gentianpoint_entry.forwarding import agent_feeds
+from gentianpoint_entry.forwarding import agent_connections
 from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import entry_peers
 from gentianpoint_entry.forwarding import fleet_news
@@ -130,15 +130,17 @@
 
 
 async def bring_to_feeds(rows):
-    board = targets.TargetBoard()
-    target = board.put_entry(
-        forwarding_builders.make_entry("a", born_ms=0), trio.current_time()
+    registry = targets.TargetRegistry()
+    target = registry.put_entry(
+        forwarding_builders.make_entry("a", started_ms=0), trio.current_time()
     )
     news = fleet_news.FleetNews(members.MemberTable(ADDRESS, "north"))
-    feeds = agent_feeds.AgentFeeds(board, lambda _: AGENT, news)
+    connections = agent_connections.AgentConnections(
+        registry, lambda _: AGENT, news
+    )
     connection = peer_builders.ScriptedConnection(rows)
     try:
-        await feeds._take_reports(target, AGENT, connection)
+        await connections._read_messages(target, AGENT, connection)
     except* peer_connections.PeerConnectionError:
         pass
     route = forwarding_builders.make_route(routes.RouteKind.STREAM)
@@ -147,7 +149,7 @@
     )
     shared = forwarding_builders.make_forwarder("b", None)
     choice.choose_target(
-        [target, shared.board.find("b")],
+        [target, shared.registry.find("b")],
         request,
         forwarding_builders.DATA_CENTRE,
         1,
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -66,7 +66,7 @@
     wanted = forwarding_builders.make_event(number)
     while wanted not in context.answer.data:
         await trio.sleep(0.01)
-    target = shared.board.find("a")
+    target = shared.registry.find("a")
     target.entry = target.entry._replace(is_leaving=True)
     target.leaves_at = deadlines.make_deadline(left_ms)
 
@@ -76,7 +76,7 @@
     wanted = forwarding_builders.make_event(number)
     while wanted not in context.answer.data:
         await trio.sleep(0.01)
-    shared.board.drop("a")
+    shared.registry.drop("a")
 
 
 async def watch_sends(context):
--- a/packages/gentianpoint-entry/features/forwarding/steps/target_board_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_registry_steps.py
@@ -12,13 +12,13 @@
 
 @behave.given("a listed target a that takes work")
 def make_board(context):
-    context.board = targets.TargetBoard()
+    context.registry = targets.TargetRegistry()
     context.first = list_target(context)
 
 
 def list_target(context, **changes):
     entry = forwarding_builders.make_entry("a", **changes)
-    return context.board.put_entry(entry, 1.0)
+    return context.registry.put_entry(entry, 1.0)
 
 
 @behave.when("another target answers in place of a")
@@ -37,25 +37,25 @@
 
 @behave.then("a gets no more work")
 def check_no_work(context):
-    assert not context.first.takes_work()
+    assert not context.first.accepts_work()
 
 
 @behave.then("a gets work again once it writes its entry")
 def check_work(context):
     assert list_target(context) is context.first
-    assert context.first.takes_work()
+    assert context.first.accepts_work()
 
 
 def list_start(context, name, offset):
     entry = forwarding_builders.make_entry(
         f"start-{name}", address="10.0.0.7:80"
     )
-    context.starts[name] = context.board.put_entry(entry, 1.0, offset)
+    context.starts[name] = context.registry.put_entry(entry, 1.0, offset)
 
 
 def list_working(context):
     return [
-        name for name, start in context.starts.items() if start.takes_work()
+        name for name, start in context.starts.items() if start.accepts_work()
     ]
 
 
@@ -64,7 +64,7 @@
     " record {second:d} at one address"
 )
 def list_starts(context, first, second):
-    context.board = targets.TargetBoard()
+    context.registry = targets.TargetRegistry()
     context.starts = {}
     for offset in (first, second):
         list_start(context, offset, offset)
@@ -86,22 +86,24 @@
 
 @behave.when("a is listed with a later start")
 def start_again(context):
-    context.second = list_target(context, born_ms=2)
+    context.second = list_target(context, started_ms=2)
 
 
 @behave.then("a new target stands for a, and the one before is gone")
 def check_second(context):
     assert context.second is not context.first
     assert context.first.is_gone
-    assert context.board.find("a") is context.second
-    assert len(context.board.list_of(forwarding_builders.SERVICE)) == 1
+    assert context.registry.find("a") is context.second
+    assert (
+        len(context.registry.list_by_service(forwarding_builders.SERVICE)) == 1
+    )
 
 
 @behave.given("a list with targets a and b that the log stops serving")
 def make_listing(context):
-    context.board = targets.TargetBoard()
+    context.registry = targets.TargetRegistry()
     context.listing = target_listing.TargetListing(
-        context.board,
+        context.registry,
         lambda record: forwarding_builders.make_entry(record.key),
     )
 
@@ -130,20 +132,20 @@
 
 @behave.then("a is still listed")
 def check_listed(context):
-    assert context.board.find("a") is not None
+    assert context.registry.find("a") is not None
 
 
 @behave.then("a is gone")
 def check_gone(context):
-    assert context.board.find("a") is None
-    assert context.board.find("b") is not None
+    assert context.registry.find("a") is None
+    assert context.registry.find("b") is not None
 
 
 @behave.given("a list that names no target")
 def make_empty_listing(context):
-    context.board = targets.TargetBoard()
+    context.registry = targets.TargetRegistry()
     context.listing = target_listing.TargetListing(
-        context.board,
+        context.registry,
         lambda record: forwarding_builders.make_entry(record.key),
     )
 
@@ -154,7 +156,7 @@
 
 
 def announce(context):
-    context.listing.announce(forwarding_builders.make_entry("a", born_ms=0))
+    context.listing.announce(forwarding_builders.make_entry("a", started_ms=0))
 
 
 @behave.when("target a is announced")
@@ -168,8 +170,8 @@
 
 @behave.then("a is used at once")
 def check_used(context):
-    context.first = context.board.find("a")
-    assert context.first.takes_work()
+    context.first = context.registry.find("a")
+    assert context.first.accepts_work()
 
 
 @behave.then("the same target stands for a once the list names it")
@@ -178,7 +180,7 @@
         read_list(context, "a")
 
     topic_builders.run_on_clock(run)
-    assert context.board.find("a") is context.first
+    assert context.registry.find("a") is context.first
     assert not context.first.is_gone
 
 
@@ -211,7 +213,7 @@
 
 @behave.then("a is gone for good")
 def check_gone_for_good(context):
-    assert context.board.find("a") is None
+    assert context.registry.find("a") is None
 
 
 @behave.when(
@@ -220,7 +222,7 @@
 def announce_at_address(context):
     address = forwarding_builders.make_entry("a").address
     context.listing = target_listing.TargetListing(
-        context.board,
+        context.registry,
         lambda record: forwarding_builders.make_entry(
             record.key, address=address
         ),
@@ -241,4 +243,4 @@
         read_list(context, "a")
 
     topic_builders.run_on_clock(run)
-    assert context.board.find("a").takes_work()
+    assert context.registry.find("a").accepts_work()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_feeds.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
@@ -19,7 +19,7 @@
 from gentianpoint_entry.forwarding import fleet_news
 from gentianpoint_entry.forwarding import targets
 
-__all__ = ("AgentFeeds",)
+__all__ = ("AgentConnections",)
 
 _LOOK_S: typing.Final = 0.2
 """Longest pause between looks at which connections there should be."""
@@ -44,17 +44,17 @@
         self.unwanted_since: typing.Optional[float] = None
 
 
-class AgentFeeds:
+class AgentConnections:
     """Connections to those agents that this entry watches or needs."""
 
     def __init__(
         self,
-        board: targets.TargetBoard,
+        registry: targets.TargetRegistry,
         find_agent: FindAgent,
         news: fleet_news.FleetNews,
     ) -> None:
-        """Follow ``board``; exchange reports with the members of ``news``."""
-        self._board: typing.Final = board
+        """Follow ``registry``; exchange reports with members of ``news``."""
+        self._registry: typing.Final = registry
         self._find_agent: typing.Final = find_agent
         self._news: typing.Final = news
         news.take_report = self.take_passed_on
@@ -110,7 +110,7 @@
     def _find_agents(self) -> abc.Mapping[targets.Target, str]:
         """Return the agents beside all targets that have one."""
         agents = {}
-        for target in self._board.list_all():
+        for target in self._registry.list_all():
             agent = self._find_agent(target)
             if agent is not None:
                 agents[target] = agent
@@ -126,7 +126,7 @@
         report = target.report
         if report is None or report.is_leaving:
             return
-        if now - report.received_at > _REPORT_KEPT_S:
+        if now - report.sampled_at > _REPORT_KEPT_S:
             target.report = None
 
     async def _follow(self, target: targets.Target, agent: str) -> None:
@@ -141,7 +141,7 @@
                         logs.log_event(events.CONNECTION_OPENED, peer=agent)
                         retry_s = _FIRST_RETRY_S
                         is_lost = False
-                        await self._take_reports(target, agent, connection)
+                        await self._read_messages(target, agent, connection)
                 except* peer_connections.PeerConnectionError as group:
                     if not is_lost:
                         # A line for each attempt would bury all others where
@@ -151,7 +151,7 @@
                 await trio.sleep(retry_s)
                 retry_s = min(_LONGEST_RETRY_S, retry_s * 2)
 
-    async def _take_reports(
+    async def _read_messages(
         self,
         target: targets.Target,
         agent: str,
@@ -169,7 +169,7 @@
                         case "engine_state":
                             self._take_state(target, agent, message)
                         case "move_turn":
-                            turns.take_turn(message["request"])
+                            turns.mark_granted(message["request"])
         finally:
             target.turns = None
             turns.close()
@@ -193,8 +193,8 @@
         self, target: targets.Target, report: targets.EngineReport
     ) -> None:
         """Believe a report of a target, unless it is of another start."""
-        known_ms = target.entry.born_ms
-        if report.born_ms and known_ms and report.born_ms != known_ms:
+        known_ms = target.entry.started_ms
+        if report.started_ms and known_ms and report.started_ms != known_ms:
             return
         if not engine_reports.is_newer(report, target.report):
             return
@@ -202,7 +202,7 @@
         target.take_report(report)
         if report.is_leaving and not was_leaving:
             self._hurry.set()
-            self._board.note_notice(trio.current_time())
+            self._registry.note_leaving_notice(trio.current_time())
             logs.log_event(
                 events.TARGET_LEAVING,
                 target=target.target_id,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_turns.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_turns.py
@@ -32,7 +32,7 @@
         async for message in self._to_send:
             await self._connection.send(message)
 
-    def take_turn(self, request: str) -> None:
+    def mark_granted(self, request: str) -> None:
         """Learn that a request has the turn."""
         given = self._given.get(request)
         if given is None:
@@ -45,7 +45,7 @@
         for given in self._given.values():
             given.set()
 
-    async def wait_turn(
+    async def wait_for_turn(
         self, request: str, tokens: int, is_heard: abc.Callable[[], bool]
     ) -> None:
         """Return when a request has the turn, or needs none.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/choice.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/choice.py
@@ -86,7 +86,7 @@
     score = 0.0
     if target.entry.data_centre != data_centre:
         score += far_cost
-    if now < target.slow_until:
+    if now < target.slow_start_until:
         score += _SLOW_COST
     if target.failures and now - target.failed_at < _FAILURE_MEMORY_S:
         score += _FAILURE_COST * min(3, target.failures)
@@ -108,9 +108,9 @@
     """
     report = target.report
     if report is None:
-        return target.unread_prompt_tokens
-    seen = report.unread_tokens + target.prompt_tokens_since_report
-    return max(target.unread_prompt_tokens, seen)
+        return target.own_pending_prefill_tokens
+    seen = report.pending_prefill_tokens + target.prompt_tokens_since_report
+    return max(target.own_pending_prefill_tokens, seen)
 
 
 def _score_slots(target: targets.Target, entry_count: int) -> float:
@@ -175,7 +175,7 @@
             target,
         )
         for target in candidates
-        if target.takes_work()
+        if target.accepts_work()
     ]
     if not scored:
         return None
@@ -195,7 +195,7 @@
 ) -> float:
     """Return the mean age of the reports, 0 if there are none."""
     ages = [
-        max(0.0, now - target.report.received_at)
+        max(0.0, now - target.report.sampled_at)
         for _, target in scored
         if target.report is not None
     ]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_announcements.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_announcements.py
@@ -25,7 +25,7 @@
         self._listing: typing.Final = listing
         self._read_table: typing.Final = read_table
 
-    def take(self, message: abc.Mapping[str, typing.Any]) -> None:
+    def handle_message(self, message: abc.Mapping[str, typing.Any]) -> None:
         """Take an ``engine_here`` message.
 
         One of a service that the configuration does not know, or knows
@@ -55,7 +55,7 @@
                 data_centre=message["data_centre"],
                 slots=service.engine.slots,
                 is_leaving=False,
-                slow_for_ms=0.0,
-                born_ms=message["born_ms"],
+                slow_start_ms=0.0,
+                started_ms=message["born_ms"],
             )
         )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_reports.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_reports.py
@@ -45,7 +45,7 @@
     _check_range([message[name] for name in _FIGURES])
     made_at = now - message["age_ms"] / 1000
     return targets.EngineReport(
-        received_at=made_at,
+        sampled_at=made_at,
         running=message["running"],
         waiting=message["waiting"],
         used_tokens=message["used_tokens"],
@@ -53,10 +53,10 @@
         is_leaving=message["leaving"],
         leaves_at=_make_end(message["leaves_in_ms"], now),
         is_silent=message["silent"],
-        unread_tokens=message["unread_tokens"],
-        born_ms=message["born_ms"],
+        pending_prefill_tokens=message["unread_tokens"],
+        started_ms=message["born_ms"],
         agent_run=message["run"],
-        number=message["number"],
+        sequence_number=message["number"],
     )
 
 
@@ -67,14 +67,14 @@
         leaves_in_ms = max(0, round((report.leaves_at.at - now) * 1000))
     return [
         report.agent_run,
-        report.number,
-        max(0, round((now - report.received_at) * 1000)),
+        report.sequence_number,
+        max(0, round((now - report.sampled_at) * 1000)),
         report.running,
         report.waiting,
         report.used_tokens,
         report.total_tokens,
-        report.unread_tokens,
-        report.born_ms,
+        report.pending_prefill_tokens,
+        report.started_ms,
         report.is_leaving + 2 * report.is_silent,
         leaves_in_ms,
     ]
@@ -93,14 +93,14 @@
     _check_range(row[:_ROW_LENGTH])
     return targets.EngineReport(
         agent_run=row[0],
-        number=row[1],
-        received_at=now - row[2] / 1000,
+        sequence_number=row[1],
+        sampled_at=now - row[2] / 1000,
         running=row[3],
         waiting=row[4],
         used_tokens=row[5],
         total_tokens=row[6],
-        unread_tokens=row[7],
-        born_ms=row[8],
+        pending_prefill_tokens=row[7],
+        started_ms=row[8],
         is_leaving=bool(row[9] & 1),
         is_silent=bool(row[9] & 2),
         leaves_at=_make_end(row[10], now),
@@ -119,8 +119,8 @@
     if known is None:
         return True
     if report.agent_run == known.agent_run:
-        return report.number > known.number
-    return report.received_at > known.received_at
+        return report.sequence_number > known.sequence_number
+    return report.sampled_at > known.sampled_at
 
 
 def _check_range(figures: abc.Sequence[int]) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/measures.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_metrics.py
@@ -12,12 +12,12 @@
 from opentelemetry.sdk import metrics as sdk_metrics
 import prometheus_client
 
-__all__ = ("Measures", "make_measures", "render_measures")
+__all__ = ("EntryMetrics", "make_entry_metrics", "render_metrics")
 
 _SCOPE: typing.Final = "gentianpoint"
 
 
-class Measures:
+class EntryMetrics:
     """The instruments of one entry."""
 
     def __init__(self, provider: metrics.MeterProvider) -> None:
@@ -79,12 +79,12 @@
             self._stall.add(gap_ms - allowed_ms, {"route": route})
 
 
-def make_measures() -> Measures:
-    """Return measures that :func:`render_measures` gives as text."""
+def make_entry_metrics() -> EntryMetrics:
+    """Return measures that :func:`render_metrics` gives as text."""
     reader = prometheus.PrometheusMetricReader()
-    return Measures(sdk_metrics.MeterProvider(metric_readers=[reader]))
+    return EntryMetrics(sdk_metrics.MeterProvider(metric_readers=[reader]))
 
 
-def render_measures() -> bytes:
+def render_metrics() -> bytes:
     """Return all measures in the text format that scrapers read."""
     return prometheus_client.generate_latest(prometheus_client.REGISTRY)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_front.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
@@ -10,11 +10,11 @@
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import caller_answers
 from gentianpoint_entry.forwarding import caller_connections
+from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import leaving
-from gentianpoint_entry.forwarding import measures
 from gentianpoint_entry.forwarding import routes
 
-__all__ = ("CallerFront", "FrontAddresses")
+__all__ = ("EntryServer", "ListenAddresses")
 
 _BACKLOG: typing.Final = 1024
 """New connections that wait to be taken; when it is full the opening packet
@@ -26,18 +26,18 @@
 process until it is killed."""
 
 
-class FrontAddresses(typing.NamedTuple):
+class ListenAddresses(typing.NamedTuple):
     """Where an entry listens, each as IP:PORT."""
 
     callers: str
     """For callers."""
     ready: str
     """For the balancer, which asks whether this entry is ready."""
-    measures: str
+    metrics: str
     """For scrapers of the measures."""
 
 
-class CallerFront:
+class EntryServer:
     """The listeners of an entry, and its leaving."""
 
     def __init__(
@@ -59,19 +59,19 @@
         )
         self._is_ready: typing.Final = is_ready
         self._leave_within_s: typing.Final = leave_within_s
-        self._leaves_at: typing.Optional[float] = None
+        self._stops_at: typing.Optional[float] = None
 
     @property
-    def leaves_at(self) -> typing.Optional[float]:
+    def stops_at(self) -> typing.Optional[float]:
         """When this entry ends, on trio's clock; None while it stays."""
-        return self._leaves_at
+        return self._stops_at
 
-    async def serve(self, addresses: FrontAddresses) -> None:
+    async def serve(self, addresses: ListenAddresses) -> None:
         """Serve on all addresses until cancelled."""
         listening = [
             (await _listen(addresses.callers), self._callers),
             (await _listen(addresses.ready), self._balancer),
-            (await _listen(addresses.measures), self._scrapers),
+            (await _listen(addresses.metrics), self._scrapers),
         ]
         async with trio.open_nursery() as nursery:
             for listeners, connections in listening:
@@ -79,23 +79,23 @@
                     trio.serve_listeners, connections.serve, listeners
                 )
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Stop being ready, finish what runs, and return.
 
         New connections are served until the balancer has noticed; long
         before the kill, nothing runs any more or is given up.
         """
         now = trio.current_time()
-        self._leaves_at = now + self._leave_within_s - _LAST_S
+        self._stops_at = now + self._leave_within_s - _LAST_S
         self._callers.is_leaving = True
-        self._callers.write_until = self._leaves_at + _LAST_WRITES_S
+        self._callers.write_until = self._stops_at + _LAST_WRITES_S
         logs.log_event(
             events.LEAVING_STARTED, busy_connections=self._callers.busy_count
         )
         await trio.sleep(
             min(leaving.NOTICE_MS / 1000, self._leave_within_s / 2)
         )
-        while trio.current_time() < self._leaves_at:
+        while trio.current_time() < self._stops_at:
             self._callers.close_idle()
             if not self._callers.is_busy():
                 return
@@ -109,7 +109,7 @@
         request: caller_connections.RawRequest,
         answer: caller_answers.CallerAnswer,
     ) -> None:
-        is_ready = self._leaves_at is None and self._is_ready()
+        is_ready = self._stops_at is None and self._is_ready()
         await answer.send_whole(200 if is_ready else 503, (), b"")
 
 
@@ -118,7 +118,7 @@
     answer: caller_answers.CallerAnswer,
 ) -> None:
     headers = ((b"content-type", b"text/plain; version=0.0.4"),)
-    await answer.send_whole(200, headers, measures.render_measures())
+    await answer.send_whole(200, headers, entry_metrics.render_metrics())
 
 
 async def _listen(address: str) -> list[trio.SocketListener]:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/fleet_news.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/fleet_news.py
@@ -103,7 +103,7 @@
         now = trio.current_time()
         self.members.tick(now)
         for agent, report in self._reports.list_all():
-            if now - report.received_at > _REPORT_KEPT_S:
+            if now - report.sampled_at > _REPORT_KEPT_S:
                 self._reports.drop(agent)
 
     def hurry(self) -> None:
@@ -184,7 +184,7 @@
         changed = self._reports.list_since(link.reports_seen)
         link.reports_seen = self._reports.changes
         for agent, report in changed:
-            version = (report.agent_run, report.number)
+            version = (report.agent_run, report.sequence_number)
             if link.reports.get(agent) != version:
                 link.reports[agent] = version
                 row = engine_reports.pack_report(report, now)
@@ -259,8 +259,8 @@
         if report is None:
             return
         agent = row["agent"]
-        link.reports[agent] = (report.agent_run, report.number)
-        if trio.current_time() - report.received_at > _REPORT_KEPT_S:
+        link.reports[agent] = (report.agent_run, report.sequence_number)
+        if trio.current_time() - report.sampled_at > _REPORT_KEPT_S:
             return
         if self.put_report(agent, report):
             self.take_report(agent, report)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
@@ -13,7 +13,7 @@
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import arrivals
 from gentianpoint_entry.forwarding import choice
-from gentianpoint_entry.forwarding import measures
+from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import move_destinations
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import retry_limits
@@ -42,13 +42,13 @@
 
     def __init__(
         self,
-        board: targets.TargetBoard,
+        registry: targets.TargetRegistry,
         calls: target_calls.TargetCalls,
         limits: retry_limits.RetryLimits,
         data_centre: str,
         count_entries: abc.Callable[[], int],
         source: random.Random,
-        figures: measures.Measures,
+        figures: entry_metrics.EntryMetrics,
         count_sharing: typing.Optional[abc.Callable[[], int]] = None,
     ) -> None:
         """Serve from ``data_centre`` as one of ``count_entries()``.
@@ -56,14 +56,14 @@
         ``count_sharing`` returns among how many the retries are shared out,
         where that differs.
         """
-        self.board: typing.Final = board
+        self.registry: typing.Final = registry
         self.calls: typing.Final = calls
         self.limits: typing.Final = limits
         self.data_centre: typing.Final = data_centre
         self.count_entries: typing.Final = count_entries
         self._count_sharing: typing.Final = count_sharing or count_entries
         self.source: typing.Final = source
-        self.measures: typing.Final = figures
+        self.metrics: typing.Final = figures
         self._arrivals: typing.Final = arrivals.Arrivals()
         send, receive = trio.open_memory_channel[_UnusedCopy](math.inf)
         self._unused: typing.Final = send
@@ -77,7 +77,7 @@
         """
         while True:
             await trio.sleep(_TIDY_S)
-            self.calls.keep_only(self.board.list_all())
+            self.calls.keep_only(self.registry.list_all())
 
     def choose_target(
         self,
@@ -87,7 +87,7 @@
         """Return the best target for a request, or None."""
         candidates = [
             target
-            for target in self.board.list_of(request.service.name)
+            for target in self.registry.list_by_service(request.service.name)
             if target.target_id not in excluded
         ]
         now = trio.current_time()
@@ -124,7 +124,7 @@
             source,
             choice.MOST_USED_BY_MOVES,
             move_destinations.list_of_others(
-                source, self.board.list_of(request.service.name)
+                source, self.registry.list_by_service(request.service.name)
             ),
         )
         if target is not None:
@@ -140,7 +140,7 @@
         self, request: requests.CallerRequest, runner: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Return the target that keeps a copy of a generation, or None."""
-        calm_s = trio.current_time() - self.board.noticed_at
+        calm_s = trio.current_time() - self.registry.last_leaving_notice_at
         if calm_s < choice.CALM_S:
             return None
         return self._choose_other(request, runner, choice.MOST_USED_BY_BACKUPS)
@@ -154,7 +154,7 @@
     ) -> typing.Optional[targets.Target]:
         now = trio.current_time()
         return choice.choose_backup(
-            self.board.list_of(request.service.name),
+            self.registry.list_by_service(request.service.name),
             runner,
             request,
             self.count_entries(),
@@ -224,7 +224,7 @@
     ) -> None:
         """Remember that a target failed, for the next choices."""
         target.note_failure(trio.current_time())
-        self.measures.record_failed_attempt(error.step)
+        self.metrics.record_failed_attempt(error.step)
         logs.log_event(
             events.ATTEMPT_FAILED,
             target=target.target_id,
@@ -285,9 +285,9 @@
     if target.failures:
         fields["failures"] = target.failures
     if target.report is not None:
-        age_s = trio.current_time() - target.report.received_at
+        age_s = trio.current_time() - target.report.sampled_at
         fields["report_age_ms"] = round(age_s * 1000)
         fields["used_tokens"] = target.report.used_tokens
         fields["waiting"] = target.report.waiting
-        fields["unread_tokens"] = target.report.unread_tokens
+        fields["unread_tokens"] = target.report.pending_prefill_tokens
     return fields
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarding_entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarding_entry.py
@@ -7,15 +7,15 @@
 
 from gentianpoint_core import logs
 from gentianpoint_core.generated import events
-from gentianpoint_entry.forwarding import caller_front
+from gentianpoint_entry.forwarding import entry_server
 from gentianpoint_entry.forwarding import topic_follower
 
 __all__ = ("run_entry",)
 
 
 async def run_entry(
-    front: caller_front.CallerFront,
-    addresses: caller_front.FrontAddresses,
+    server: entry_server.EntryServer,
+    addresses: entry_server.ListenAddresses,
     followers: abc.Sequence[topic_follower.TopicFollower],
     tasks: abc.Sequence[abc.Callable[[], abc.Awaitable[None]]],
     reload_settings: abc.Callable[[], None],
@@ -34,12 +34,12 @@
                 nursery.start_soon(follower.run)
             for task in tasks:
                 nursery.start_soon(task)
-            nursery.start_soon(front.serve, addresses)
+            nursery.start_soon(server.serve, addresses)
             logs.log_event(
                 events.ENTRY_STARTED,
                 callers=addresses.callers,
                 ready=addresses.ready,
-                measures=addresses.measures,
+                measures=addresses.metrics,
             )
             async for number in signals:
                 if number == signal.SIGTERM:
@@ -47,7 +47,7 @@
                 reload_settings()
             nursery.start_soon(_ignore_signals, signals)
             tell_leaving()
-            await front.leave()
+            await server.shut_down()
             await give_up_unanswered()
             nursery.cancel_scope.cancel()
     logs.log_event(events.PROCESS_STOPPED)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -72,7 +72,7 @@
         source: targets.Target,
         choose_destination: abc.Callable[[], typing.Optional[targets.Target]],
         request_id: str,
-        shape: routes.EngineShape,
+        shape: routes.EngineSpec,
         count_memory: abc.Callable[[], int],
     ) -> None:
         """Move from ``source`` to what is chosen once it is the turn.
@@ -103,7 +103,7 @@
         turns = await self._find_turns()
         if turns is not None:
             self._turns = turns
-            await turns.wait_turn(
+            await turns.wait_for_turn(
                 self._request_id, self._count_memory(), self._is_agent_heard
             )
         # Chosen only now, since what had room when the move was wanted may
@@ -174,7 +174,7 @@
         report = self._source.report
         if report is None:
             return False
-        return trio.current_time() - report.received_at < _AGENT_QUIET_S
+        return trio.current_time() - report.sampled_at < _AGENT_QUIET_S
 
     def end(self) -> None:
         """Give the turn back, whatever became of the move."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
@@ -31,7 +31,7 @@
         return frozenset()
     staying: dict[str, list[targets.Target]] = {}
     for target in known:
-        if target.takes_work():
+        if target.accepts_work():
             staying.setdefault(target.entry.data_centre, []).append(target)
     others: set[str] = set()
     for data_centre, here in staying.items():
@@ -48,4 +48,4 @@
 
 
 def _is_leaving(target: targets.Target) -> bool:
-    return not (target.is_gone or target.is_replaced or target.takes_work())
+    return not (target.is_gone or target.is_replaced or target.accepts_work())
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
@@ -99,7 +99,7 @@
             finally:
                 outcome = outcome or self._name_break()
                 took_ms = round((trio.current_time() - began) * 1000)
-                self._shared.measures.record_request(
+                self._shared.metrics.record_request(
                     request.route.name, outcome, answer.status, took_ms
                 )
                 logs.log_event(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
@@ -12,7 +12,7 @@
 __all__ = (
     "CallerLimits",
     "Customer",
-    "EngineShape",
+    "EngineSpec",
     "Route",
     "RouteKind",
     "RouteTable",
@@ -88,7 +88,7 @@
     """Rank that goes before the route's; None for the route's."""
 
 
-class EngineShape(typing.NamedTuple):
+class EngineSpec(typing.NamedTuple):
     """What all engines of a service are like."""
 
     slots: int
@@ -122,7 +122,7 @@
     """Path of its health check."""
     connection_limit: int
     """Connections that a target takes from all callers together."""
-    engine: typing.Optional[EngineShape]
+    engine: typing.Optional[EngineSpec]
     """Set when its targets are model engines."""
 
 
@@ -150,13 +150,13 @@
         customers: abc.Mapping[str, Customer],
         limits: CallerLimits,
         *,
-        asks_for_keys: bool,
+        requires_keys: bool,
     ) -> None:
         """Index a version; ``customers`` is by key."""
         self.version: typing.Final = version
         self.limits: typing.Final = limits
         self.services: typing.Final = {item.name: item for item in services}
-        self.asks_for_keys: typing.Final = asks_for_keys
+        self.requires_keys: typing.Final = requires_keys
         self._customers: typing.Final = dict(customers)
         self._by_host: typing.Final[dict[str, list[Route]]] = {}
         for route in routes:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -96,7 +96,7 @@
             _HAND_OVER_MS + shared.source.random() * _HAND_OVER_SPREAD_MS
         )
         self._pace: typing.Final = stream_pace.StreamPace(
-            request.route, shared.measures, trio.current_time()
+            request.route, shared.metrics, trio.current_time()
         )
 
     async def serve(self) -> typing.Optional[refusals.Refusal]:
@@ -360,7 +360,7 @@
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Return a run elsewhere if the target leaves, else None."""
         target = run.target
-        if target.takes_work() or self._request.route.may_repeat():
+        if target.accepts_work() or self._request.route.may_repeat():
             # A stream that may be run again goes on after the break.
             return None
         left_ms = _find_left_ms(target)
@@ -376,7 +376,7 @@
 
     def _has_backup(self, run: stream_runs.StreamRun) -> bool:
         """Tell whether the copy at the backup can be counted on."""
-        if run.backup is None or not run.backup.takes_work():
+        if run.backup is None or not run.backup.accepts_work():
             return False
         return trio.current_time() - run.began_at >= _BACKUP_READY_S
 
@@ -403,7 +403,7 @@
         self,
         run: stream_runs.StreamRun,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Copy the memory ahead; once it is there, go on from it."""
         if self._has_stopped_in_vain:
@@ -442,7 +442,7 @@
         self,
         target: targets.Target,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> generation_moves.GenerationMove:
         def count_memory() -> int:
             made = self._pace.events * engine.event_tokens
@@ -469,7 +469,7 @@
     def _log_move(
         self, source: targets.Target, destination: targets.Target, way: str
     ) -> None:
-        self._shared.measures.record_move(way)
+        self._shared.metrics.record_move(way)
         logs.log_event(
             events.GENERATION_MOVED,
             source=source.target_id,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_pace.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_pace.py
@@ -8,7 +8,7 @@
 
 import typing
 
-from gentianpoint_entry.forwarding import measures
+from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import routes
 
 __all__ = ("StreamPace",)
@@ -18,11 +18,14 @@
     """Times of one stream's events, as they are given to its caller."""
 
     def __init__(
-        self, route: routes.Route, figures: measures.Measures, now: float
+        self,
+        route: routes.Route,
+        figures: entry_metrics.EntryMetrics,
+        now: float,
     ) -> None:
         """Count from ``now``, on trio's clock, when the request was read."""
         self._route: typing.Final = route
-        self._measures: typing.Final = figures
+        self._metrics: typing.Final = figures
         self._last_at = now
         self.events = 0
         self._first_ms = -1.0
@@ -36,12 +39,12 @@
         self.events += 1
         if self.events == 1:
             self._first_ms = waited_ms
-            self._measures.record_first_event(self._route.name, waited_ms)
+            self._metrics.record_first_event(self._route.name, waited_ms)
             return
         if waited_ms > self._longest_ms:
             self._longest_ms = waited_ms
             self._longest_before = self.events
-        self._measures.record_gap(
+        self._metrics.record_gap(
             self._route.name, waited_ms, self._route.gap_objective_ms
         )
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
@@ -131,9 +131,13 @@
         """Count the prompt as work that the target has still to do."""
         if self._options.copy is None:
             self._is_counted = True
-            self.target.unread_prompt_tokens += self._request.prompt_tokens
+            self.target.own_pending_prefill_tokens += (
+                self._request.prompt_tokens
+            )
 
     def _count_prompt_read(self) -> None:
         if self._is_counted:
             self._is_counted = False
-            self.target.unread_prompt_tokens -= self._request.prompt_tokens
+            self.target.own_pending_prefill_tokens -= (
+                self._request.prompt_tokens
+            )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -1,4 +1,4 @@
-"""Keeps the board of targets as the platform's list tells it."""
+"""Keeps the registry of targets as the platform's list tells it."""
 
 import collections
 from collections import abc
@@ -40,10 +40,10 @@
     """Turns records of the list into targets."""
 
     def __init__(
-        self, board: targets.TargetBoard, decode: DecodeEntry
+        self, registry: targets.TargetRegistry, decode: DecodeEntry
     ) -> None:
-        """Keep ``board``."""
-        self._board: typing.Final = board
+        """Keep ``registry``."""
+        self._registry: typing.Final = registry
         self._decode: typing.Final = decode
         self._missing: typing.Final[set[str]] = set()
         self._announced: typing.Final[dict[str, float]] = {}
@@ -61,7 +61,7 @@
         for record in records:
             if self._put(record):
                 listed.add(record.key)
-        for target in self._board.list_all():
+        for target in self._registry.list_all():
             name = target.target_id
             if name not in listed and name not in self._announced:
                 self._drop(name)
@@ -75,7 +75,7 @@
         for a while, and nothing at all while the log is away.
         """
         name = entry.target_id
-        if self._board.find(name) is not None or name in self._dropped:
+        if self._registry.find(name) is not None or name in self._dropped:
             return
         if entry.address in self._addresses:
             # Addresses of targets that have gone are given to other
@@ -83,7 +83,7 @@
             # requests would be run by a service that they must not reach.
             return
         now = trio.current_time()
-        self._board.put_entry(entry, now)
+        self._registry.put_entry(entry, now)
         self._remember_address(entry.address)
         self._announced[name] = now + _LISTED_WITHIN_S
         logs.log_event(
@@ -118,9 +118,9 @@
         entry = self._decode(record)
         if entry is None:
             return False
-        known = self._board.find(entry.target_id)
+        known = self._registry.find(entry.target_id)
         was_leaving = known is not None and known.entry.is_leaving
-        self._board.put_entry(entry, trio.current_time(), record.offset)
+        self._registry.put_entry(entry, trio.current_time(), record.offset)
         self._remember_address(entry.address)
         self._missing.discard(entry.target_id)
         is_new = known is None or entry.target_id in self._announced
@@ -158,5 +158,5 @@
     def _drop_now(self, target_id: str) -> None:
         self._announced.pop(target_id, None)
         self._dropped.append(target_id)
-        if self._board.drop(target_id) is not None:
+        if self._registry.drop(target_id) is not None:
             logs.log_event(events.TARGET_UNLISTED, target=target_id)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -13,7 +13,7 @@
 from gentianpoint_core import deadlines
 from gentianpoint_entry.forwarding import agent_turns
 
-__all__ = ("EngineReport", "Target", "TargetBoard", "TargetEntry")
+__all__ = ("EngineReport", "Target", "TargetEntry", "TargetRegistry")
 
 
 _NOT_LISTED: typing.Final = -1
@@ -37,9 +37,9 @@
     """Requests that it runs at once."""
     is_leaving: bool
     """True when it takes no new work."""
-    slow_for_ms: float
+    slow_start_ms: float
     """How much longer it is slow after its start."""
-    born_ms: int
+    started_ms: int
     """Unix time of its start in milliseconds, 0 if not said. The same
     identifier with another time is a new start that knows nothing."""
 
@@ -47,7 +47,7 @@
 class EngineReport(typing.NamedTuple):
     """What an engine's agent last told."""
 
-    received_at: float
+    sampled_at: float
     """When the engine was asked, on trio's clock, in seconds."""
     running: int
     """Requests in the batch."""
@@ -63,13 +63,13 @@
     """When it goes, if known."""
     is_silent: bool
     """True when the engine no longer answers its agent."""
-    unread_tokens: int
+    pending_prefill_tokens: int
     """Prompt tokens that it has still to read, of all entries' requests."""
-    born_ms: int = 0
+    started_ms: int = 0
     """Unix time of the engine's start in milliseconds, 0 if not said."""
     agent_run: int = 0
     """Number that tells runs of the agent apart."""
-    number: int = 0
+    sequence_number: int = 0
     """How many reports this run of the agent had made."""
 
 
@@ -97,7 +97,7 @@
         # Place of its newest record in the list.
         self.offset = _NOT_LISTED
         self.leaves_at: typing.Optional[deadlines.Deadline] = None
-        self.slow_until = now + entry.slow_for_ms / 1000
+        self.slow_start_until = now + entry.slow_start_ms / 1000
         self.report: typing.Optional[EngineReport] = None
         self.heard_at = now
         self.turns: typing.Optional[agent_turns.AgentTurns] = None
@@ -109,7 +109,7 @@
         self.busy_since = math.inf
         # Prompts of this entry alone: those without an event yet, and those
         # that were sent after the report was made.
-        self.unread_prompt_tokens = 0
+        self.own_pending_prefill_tokens = 0
         self.prompt_tokens_since_report = 0
         self.failures = 0
         self.failed_at = -1e9
@@ -119,7 +119,7 @@
         """Identifier of this start."""
         return self.entry.target_id
 
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Tell whether new work may be sent here."""
         if self.is_gone or self.is_replaced or self.entry.is_leaving:
             return False
@@ -174,28 +174,28 @@
         second ago and does not know what was sent since.
         """
         self.report = report
-        self.heard_at = report.received_at
+        self.heard_at = report.sampled_at
         self._sent[:] = [
-            item for item in self._sent if item.at > report.received_at
+            item for item in self._sent if item.at > report.sampled_at
         ]
         self._count_sent()
         if report.leaves_at is not None:
             self.leaves_at = report.leaves_at
 
 
-class TargetBoard:
+class TargetRegistry:
     """All targets, by their identifiers."""
 
     def __init__(self) -> None:
         """Start without any."""
-        self.noticed_at = -math.inf
+        self.last_leaving_notice_at = -math.inf
         self._targets: typing.Final[dict[str, Target]] = {}
         self._by_service: typing.Final[dict[str, list[Target]]] = {}
         self._starts: typing.Final[dict[tuple[str, str], list[Target]]] = {}
 
-    def note_notice(self, now: float) -> None:
+    def note_leaving_notice(self, now: float) -> None:
         """Remember when a target was last given notice; see ``choice``."""
-        self.noticed_at = now
+        self.last_leaving_notice_at = now
 
     def put_entry(
         self, entry: TargetEntry, now: float, offset: int = _NOT_LISTED
@@ -244,7 +244,7 @@
         """Return a target by its identifier."""
         return self._targets.get(target_id)
 
-    def list_of(self, service: str) -> abc.Sequence[Target]:
+    def list_by_service(self, service: str) -> abc.Sequence[Target]:
         """Return the targets of a service."""
         return self._by_service.get(service, ())
 
@@ -272,6 +272,6 @@
         return False
     # An announcement, or an entry of an older writer, may not say when the
     # target started; address and identifier then have to do.
-    if not known.born_ms or not entry.born_ms:
+    if not known.started_ms or not entry.started_ms:
         return True
-    return known.born_ms == entry.born_ms
+    return known.started_ms == entry.started_ms
