--- a/bench/admission_trials.py
+++ b/bench/admission_trials.py
@@ -32,9 +32,9 @@
 
 from gentianpoint_agent import admission
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import baseline_policies
 from gentianpoint_agent import predictive_policy
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import errors
 from gentianpoint_core import ports
@@ -294,7 +294,7 @@
             self._limit = _SCENARIO_LIMIT_TOKENS
             self._deadline_ms = _SCENARIO_DEADLINE_MS
             self._warm_s = 0.0
-        service = service_in_force.ServiceInForce("service")
+        service = applied_service.AppliedService("service")
         service.spec = {
             "kind": "model",
             "customers": ["*"],
@@ -417,7 +417,7 @@
             deadlines.make_deadline(self._deadline_ms),
         )
         try:
-            async with self._control.enter(profile) as slot:
+            async with self._control.admit(profile) as slot:
                 reader = self._start(caller, slot)
                 try:
                     await reader.done.wait()
@@ -504,7 +504,7 @@
 
 
 def _make_policy(
-    name: str, service: service_in_force.ServiceInForce
+    name: str, service: applied_service.AppliedService
 ) -> admission_policy.AdmissionPolicy:
     match name:
         case "none":
--- a/bench/decision_times.py
+++ b/bench/decision_times.py
@@ -2,7 +2,7 @@
 
 ``python -m bench.decision_times`` times the admission of a call against the
 number of running streams, the choice in the queue against its length, the
-outlook of a call and the state behind it against the number of customers, a
+estimate for a call and the state behind it against the number of customers, a
 token against the number of running streams, and placement against the number
 of targets. Each figure is the median over rounds of the processor time of
 one decision. One JSON line for each, then a table.
@@ -18,11 +18,11 @@
 import trio
 
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
+from gentianpoint_agent import call_estimates
 from gentianpoint_agent import fair_queue
 from gentianpoint_agent import memory_forecasts
-from gentianpoint_agent import outlooks
 from gentianpoint_agent import predictive_policy
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 from gentianpoint_core.generated import messages
@@ -102,7 +102,7 @@
     )
 
 
-class _DeafWatcher(admission_policy.SlotWatcher):
+class _DeafWatcher(admission_policy.SlotObserver):
     """Passes tokens to the policy as the control does."""
 
     def __init__(self, policy: admission_policy.AdmissionPolicy) -> None:
@@ -113,7 +113,7 @@
         slot: admission_policy.Slot,
         gap_ms: typing.Optional[float],
         *,
-        new_class: bool,
+        is_new_bin: bool,
     ) -> None:
         self._policy.note_token(slot, gap_ms)
 
@@ -126,11 +126,11 @@
         pass
 
 
-def _teach(maker: outlooks.OutlookMaker, customers: int) -> None:
+def _teach(maker: call_estimates.CallEstimator, customers: int) -> None:
     """Let a customer in ten come back, with answers of different lengths."""
     for number in range(customers):
         profile = _make_profile(number % max(1, customers * 9 // 10))
-        length = maker.make_outlook(profile, 0).length
+        length = maker.estimate_call(profile, 0).length
         for _ in range(1 + number * 37 % 700):
             length.add_token()
         length.end()
@@ -139,9 +139,9 @@
 def measure_admission() -> abc.Iterator[DecisionTime]:
     """Time the policy's word, with a forecast made anew, and one token."""
     for size in _RUNNING:
-        service = service_in_force.ServiceInForce("s")
+        service = applied_service.AppliedService("s")
         policy = predictive_policy.PredictivePolicy(service)
-        maker = outlooks.OutlookMaker()
+        maker = call_estimates.CallEstimator()
         _teach(maker, 200)
         policy.note_load(_make_load(), ())
         running: dict[admission_policy.Slot, None] = {}
@@ -149,7 +149,7 @@
         for number in range(size):
             profile = _make_profile(number % 20)
             slot = admission_policy.Slot(
-                profile, maker.make_outlook(profile, 0), watcher, 0.0
+                profile, maker.estimate_call(profile, 0), watcher, 0.0
             )
             policy.note_start(slot)
             running[slot] = None
@@ -160,7 +160,7 @@
             slot.tokens = 100 + number % 300
         forecast = memory_forecasts.MemoryForecast(_BLOCK_TOKENS)
         stream = memory_forecasts.StreamMemory(
-            first.outlook.length.distribution, 1000, 100, 0
+            first.estimate.length.distribution, 1000, 100, 0
         )
         for slot in running:
             forecast.add(slot, stream, 0.0)
@@ -170,7 +170,7 @@
             stream: memory_forecasts.StreamMemory = stream,
         ) -> None:
             # As at a decision to which no stream's part is new enough.
-            for key in forecast.find_due(1.0):
+            for key in forecast.list_due(1.0):
                 forecast.remove(key)
                 forecast.add(key, stream, 0.0)
             forecast.find_peak(3.0)
@@ -220,11 +220,11 @@
     """Time the choice of the next call when each customer has one."""
     for size in _QUEUED:
         queue = fair_queue.FairQueue()
-        maker = outlooks.OutlookMaker()
-        outlook = maker.make_outlook(_make_profile(0), 0)
+        maker = call_estimates.CallEstimator()
+        estimate = maker.estimate_call(_make_profile(0), 0)
         for number in range(size):
             profile = _make_profile(number)
-            queue.add(fair_queue.Ticket(profile, outlook, 0.0, _NEVER))
+            queue.add(fair_queue.Ticket(profile, estimate, 0.0, _NEVER))
 
         def choose(queue: fair_queue.FairQueue = queue) -> None:
             queue.find_next(1.0, _always)
@@ -234,15 +234,15 @@
         )
 
 
-def measure_outlooks() -> abc.Iterator[DecisionTime]:
-    """Time the outlook of a call after many customers were seen."""
+def measure_call_estimates() -> abc.Iterator[DecisionTime]:
+    """Time the estimate for a call after many customers were seen."""
     for size in _CUSTOMERS:
-        maker = outlooks.OutlookMaker()
+        maker = call_estimates.CallEstimator()
         _teach(maker, size)
-        kinds = maker.lengths.count_kinds()
+        kinds = maker.lengths.count_groups()
 
-        def make(maker: outlooks.OutlookMaker = maker) -> None:
-            maker.make_outlook(_make_profile(1), 0)
+        def make(maker: call_estimates.CallEstimator = maker) -> None:
+            maker.estimate_call(_make_profile(1), 0)
 
         yield _time_rounds(
             f"outlook of a call ({kinds} kinds kept)",
@@ -305,7 +305,7 @@
     return [
         *measure_admission(),
         *measure_queue(),
-        *measure_outlooks(),
+        *measure_call_estimates(),
         *measure_placement(),
     ]
 
--- a/bench/replay/fleet.py
+++ b/bench/replay/fleet.py
@@ -37,10 +37,10 @@
         await trio.sleep(0.001)
         request = message["request"]
         if message["type"] == "move_done":
-            self._turns.give_back(request)
+            self._turns.release_turn(request)
             return
-        self._turns.want(
-            move_turns.MoveTurn(request, message["tokens"], self._given)
+        self._turns.request_turn(
+            move_turns.MoveRequest(request, message["tokens"], self._given)
         )
 
 
@@ -163,7 +163,7 @@
     ) -> None:
         is_noticed = False
         while not item.is_gone:
-            turns.give_next()
+            turns.grant_next()
             report = _make_report(item)
             self._nursery.start_soon(self._deliver, report, seen)
             if report.is_leaving and not is_noticed:
--- a/packages/gentianpoint-agent/features/agent_builders.py
+++ b/packages/gentianpoint-agent/features/agent_builders.py
@@ -4,11 +4,11 @@
 
 from gentianpoint_agent import admission
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import baseline_policies
 from gentianpoint_agent import generation_table
 from gentianpoint_agent import generations
 from gentianpoint_agent import predictive_policy
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 
@@ -48,9 +48,9 @@
     return usual._replace(**more)
 
 
-def make_service(**more: typing.Any) -> service_in_force.ServiceInForce:
+def make_service(**more: typing.Any) -> applied_service.AppliedService:
     """Return a service with a specification in force."""
-    service = service_in_force.ServiceInForce(SERVICE)
+    service = applied_service.AppliedService(SERVICE)
     service.spec = {"kind": "model", "customers": ["*"], **more}
     return service
 
--- a/packages/gentianpoint-agent/features/call_stage.py
+++ b/packages/gentianpoint-agent/features/call_stage.py
@@ -58,7 +58,7 @@
         self.scopes.append(scope)
         with scope:
             try:
-                async with self.control.enter(profile) as slot:
+                async with self.control.admit(profile) as slot:
                     call = RunningCall(
                         profile.customer, number, slot, trio.Event()
                     )
@@ -75,7 +75,7 @@
     async def _hold_running(
         self, profile: admission_policy.CallProfile
     ) -> None:
-        with self.control.hold_running(profile) as slot:
+        with self.control.admit_running(profile) as slot:
             call = RunningCall(profile.customer, 0, slot, trio.Event())
             self.running.append(call)
             await call.may_end.wait()
--- a/packages/gentianpoint-agent/features/entry_stage.py
+++ b/packages/gentianpoint-agent/features/entry_stage.py
@@ -10,10 +10,10 @@
 
 from gentianpoint_agent import admission
 from gentianpoint_agent import agent_state
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import baseline_policies
 from gentianpoint_agent import entry_connections
 from gentianpoint_agent import plain_runner
-from gentianpoint_agent import service_in_force
 from gentianpoint_agent.generated import settings
 from gentianpoint_core import codec
 from gentianpoint_core import peer_connections
@@ -158,7 +158,7 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         """Run connections and calls in ``nursery``."""
-        service = service_in_force.ServiceInForce("app-banco")
+        service = applied_service.AppliedService("app-banco")
         control = admission.AdmissionControl(
             baseline_policies.FixedPolicy(8), service
         )
--- a/packages/gentianpoint-agent/features/runner_builders.py
+++ b/packages/gentianpoint-agent/features/runner_builders.py
@@ -44,7 +44,7 @@
         self.turn = trio.Event()
 
     @contextlib.asynccontextmanager
-    async def enter(
+    async def admit(
         self, profile: admission_policy.CallProfile
     ) -> abc.AsyncIterator[None]:
         """Wait for the turn."""
--- a/packages/gentianpoint-agent/features/steps/admission_steps.py
+++ b/packages/gentianpoint-agent/features/steps/admission_steps.py
@@ -201,7 +201,7 @@
 async def run_crowd(calls, count):
     for number in range(count):
         profile = agent_builders.make_profile(f"customer-{number}")
-        async with calls.control.enter(profile):
+        async with calls.control.admit(profile):
             pass
 
 
--- a/packages/gentianpoint-agent/features/steps/service_in_force_steps.py
+++ b/packages/gentianpoint-agent/features/steps/applied_service_steps.py
@@ -3,11 +3,11 @@
 import behave
 import trio
 
-from gentianpoint_agent import service_in_force
+from gentianpoint_agent import applied_service
 
 
-async def take(service, offset, targets):
-    service.take(
+async def apply(service, offset, targets):
+    service.apply(
         {
             "type": "configure",
             "offset": offset,
@@ -19,7 +19,7 @@
 
 
 async def make_service():
-    return service_in_force.ServiceInForce("modelo-taller")
+    return applied_service.AppliedService("modelo-taller")
 
 
 @behave.given(
@@ -27,12 +27,12 @@
 )
 def tell_first(context, offset, count):
     context.service = trio.run(make_service)
-    trio.run(take, context.service, offset, count)
+    trio.run(apply, context.service, offset, count)
 
 
 @behave.when("an entry tells it offset {offset:d} with {count:d} targets")
 def tell(context, offset, count):
-    trio.run(take, context.service, offset, count)
+    trio.run(apply, context.service, offset, count)
 
 
 @behave.then("it goes by offset {offset:d} and {count:d} targets")
--- a/packages/gentianpoint-agent/features/steps/prefix_beliefs_steps.py
+++ b/packages/gentianpoint-agent/features/steps/cached_prefixes_steps.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from features import builders
-from gentianpoint_agent import prefix_beliefs
+from gentianpoint_agent import cached_prefixes
 from gentianpoint_core import ports
 
 
@@ -20,7 +20,7 @@
 
 @behave.when("the cache events {words} are read")
 def read_events(context, words):
-    context.belief = prefix_beliefs.PrefixBelief()
+    context.belief = cached_prefixes.CachedPrefixes()
     for word in words.split():
         if word == "restart":
             read = ports.CacheEvents((), 0)
@@ -28,9 +28,9 @@
             read = ports.CacheEvents((), int(word[5:]))
         else:
             event = read_event(word)
-            last = max(event.sequence, context.belief.get_last())
+            last = max(event.sequence, context.belief.get_last_sequence())
             read = ports.CacheEvents((event,), last)
-        context.belief.take(read)
+        context.belief.apply(read)
 
 
 @behave.then("the belief is {wanted}")
@@ -41,11 +41,11 @@
 
 @behave.when("{count:d} prefixes are added one event each")
 def add_many(context, count):
-    context.belief = prefix_beliefs.PrefixBelief()
+    context.belief = cached_prefixes.CachedPrefixes()
     context.count = count
     for number in range(1, count + 1):
         event = ports.CacheEvent(number, (number,), ())
-        context.belief.take(ports.CacheEvents((event,), number))
+        context.belief.apply(ports.CacheEvents((event,), number))
 
 
 @behave.then("at most {most:d} are believed, with the last one first")
--- a/packages/gentianpoint-agent/features/steps/lengths_steps.py
+++ b/packages/gentianpoint-agent/features/steps/lengths_steps.py
@@ -3,15 +3,15 @@
 import agent_builders
 import behave
 
-from gentianpoint_agent import length_classes
+from gentianpoint_agent import call_estimates
+from gentianpoint_agent import length_estimators
 from gentianpoint_agent import memory_forecasts
-from gentianpoint_agent import outlooks
 
 _DEVIATIONS = 2.3
 
 
 def run_stream(learner, tokens, *, whole, customer="c", prompt="p"):
-    stream = learner.find_stream(customer, prompt, 0)
+    stream = learner.make_stream(customer, prompt, 0)
     for _ in range(tokens - 1 if whole else tokens):
         stream.add_token()
     if whole:
@@ -20,7 +20,7 @@
 
 def get_learner(context):
     if "learner" not in context:
-        context.learner = length_classes.LengthLearner()
+        context.learner = length_estimators.LengthEstimator()
     return context.learner
 
 
@@ -80,7 +80,7 @@
 
 @behave.then('an answer for {name} to "{prompt}" is at most {most:d} tokens')
 def check_customer(context, name, prompt, most):
-    stream = context.learner.find_stream(name, f"{prompt:30} 0", 0)
+    stream = context.learner.make_stream(name, f"{prompt:30} 0", 0)
     half = stream.distribution.find_quantile(0, 0.8)
     assert half <= most, half
 
@@ -99,12 +99,12 @@
 
 @behave.then("fewer than {most:d} kinds are kept")
 def check_kinds(context, most):
-    assert context.learner.count_kinds() < most
+    assert context.learner.count_groups() < most
 
 
 @behave.then("the large customer's lengths are still known")
 def check_large(context):
-    stream = context.learner.find_stream("large", "p", 0)
+    stream = context.learner.make_stream("large", "p", 0)
     half = stream.distribution.find_quantile(0, 0.5)
     assert 250 <= half <= 360, half
 
@@ -163,12 +163,12 @@
     seen = set()
     row = memory_forecasts.StreamMemory(context.learner.service, 0, 5, 0)
     for _ in range(streams):
-        for key in context.forecast.find_due(1.0):
+        for key in context.forecast.list_due(1.0):
             context.forecast.remove(key)
             context.forecast.add(key, row, 2.0)
             seen.add(key)
     assert len(seen) == streams, seen
-    assert not context.forecast.find_due(1.0)
+    assert not context.forecast.list_due(1.0)
 
 
 @behave.when(
@@ -187,24 +187,24 @@
 
 
 @behave.given("a service whose answers have at most {most:d} tokens")
-def make_outlooks(context, most):
+def make_estimator(context, most):
     context.service_limit = most
-    context.outlooks = outlooks.OutlookMaker()
+    context.call_estimates = call_estimates.CallEstimator()
 
 
-def make_outlook(context, customer, limit):
+def estimate_call(context, customer, limit):
     profile = agent_builders.make_profile(
         customer, prompt=f"{customer} asks", max_tokens=limit
     )
-    return context.outlooks.make_outlook(profile, context.service_limit)
+    return context.call_estimates.estimate_call(profile, context.service_limit)
 
 
 def end_answers(context, count, length, limit):
     for number in range(count):
-        outlook = make_outlook(context, f"c-{number}", limit)
+        estimate = estimate_call(context, f"c-{number}", limit)
         for _ in range(length - 1):
-            outlook.length.add_token()
-        outlook.length.end()
+            estimate.length.add_token()
+        estimate.length.end()
 
 
 @behave.when(
@@ -223,11 +223,11 @@
 
 @behave.then("an answer whose caller sets no limit is taken to be short")
 def check_short(context):
-    assert make_outlook(context, "newcomer", 0).is_short
+    assert estimate_call(context, "newcomer", 0).is_short
 
 
 @behave.then("an answer whose caller sets {limit:d} is taken to be long")
 def check_long(context, limit):
-    outlook = make_outlook(context, "newcomer", limit)
-    assert not outlook.is_short
-    assert outlook.expected_tokens > 500, outlook.expected_tokens
+    estimate = estimate_call(context, "newcomer", limit)
+    assert not estimate.is_short
+    assert estimate.expected_tokens > 500, estimate.expected_tokens
--- a/packages/gentianpoint-agent/features/steps/move_turns_steps.py
+++ b/packages/gentianpoint-agent/features/steps/move_turns_steps.py
@@ -30,8 +30,8 @@
     for name, tokens in (("a", a), ("b", b), ("c", c)):
         send, receive = trio.open_memory_channel(math.inf)
         context.channels[name] = (send, receive)
-        turn = move_turns.MoveTurn(name, tokens, send)
-        on_clock(context, lambda turn=turn: context.turns.want(turn))
+        turn = move_turns.MoveRequest(name, tokens, send)
+        on_clock(context, lambda turn=turn: context.turns.request_turn(turn))
 
 
 def list_given(context):
@@ -45,8 +45,8 @@
     return given
 
 
-def give_back(context, name):
-    on_clock(context, lambda: context.turns.give_back(name))
+def release_turn(context, name):
+    on_clock(context, lambda: context.turns.release_turn(name))
 
 
 @behave.then("the turns go to {names} as each is given back")
@@ -55,7 +55,7 @@
     while given := list_given(context):
         assert len(given) == 1, given
         order += given
-        give_back(context, given[0])
+        release_turn(context, given[0])
     assert order == names.split(", "), order
 
 
@@ -70,7 +70,7 @@
 def pass_time(context):
     assert list_given(context) == ["a"]
     context.now += 2.0
-    on_clock(context, context.turns.give_next)
+    on_clock(context, context.turns.grant_next)
 
 
 @behave.then("b has the turn")
@@ -80,4 +80,4 @@
 
 @behave.when("b ends by itself")
 def end_waiting(context):
-    give_back(context, "b")
+    release_turn(context, "b")
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission.py
@@ -14,11 +14,11 @@
 import trio
 
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
+from gentianpoint_agent import call_estimates
 from gentianpoint_agent import drain_rates
 from gentianpoint_agent import fair_queue
-from gentianpoint_agent import outlooks
 from gentianpoint_agent import pace_limits
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import errors
 from gentianpoint_core import ports
@@ -32,18 +32,18 @@
 _PACE_KNOWN_MS: typing.Final = 5000.0
 
 
-class AdmissionControl(admission_policy.SlotWatcher):
+class AdmissionControl(admission_policy.SlotObserver):
     """The queue before the target and the set of running calls."""
 
     def __init__(
         self,
         policy: admission_policy.AdmissionPolicy,
-        service: service_in_force.ServiceInForce,
+        service: applied_service.AppliedService,
     ) -> None:
         """Admit by ``policy`` within the limits that ``service`` declares."""
         self._policy: typing.Final = policy
         self._service: typing.Final = service
-        self._outlooks: typing.Final = outlooks.OutlookMaker()
+        self._estimator: typing.Final = call_estimates.CallEstimator()
         self._queue: typing.Final = fair_queue.FairQueue()
         self._drain: typing.Final = drain_rates.DrainRate()
         self._meter: typing.Final = pace_limits.PaceMeter()
@@ -98,7 +98,7 @@
         self._decide()
 
     @contextlib.asynccontextmanager
-    async def enter(
+    async def admit(
         self, profile: admission_policy.CallProfile
     ) -> abc.AsyncIterator[admission_policy.Slot]:
         """Wait until the call may start, and hold its place while it runs.
@@ -125,7 +125,7 @@
             self._leave(ticket)
 
     @contextlib.contextmanager
-    def hold_running(
+    def admit_running(
         self, profile: admission_policy.CallProfile
     ) -> abc.Iterator[admission_policy.Slot]:
         """Hold the place of a call that runs at the target already.
@@ -150,7 +150,7 @@
         give_up = deadlines.make_deadline(within_ms).earlier(profile.start_by)
         return fair_queue.Ticket(
             profile,
-            self._outlooks.make_outlook(profile, spec.get("max_tokens", 0)),
+            self._estimator.estimate_call(profile, spec.get("max_tokens", 0)),
             deadlines.read_clock_ms(),
             give_up,
         )
@@ -211,8 +211,8 @@
         now_ms = deadlines.read_clock_ms()
         self._drain.note_release(now_ms - slot.started_ms)
         self._drain.note_running(len(self._running), now_ms)
-        cost = self._outlooks.find_cost(
-            slot.outlook.prompt_tokens, slot.tokens
+        cost = self._estimator.find_cost(
+            slot.estimate.prompt_tokens, slot.tokens
         )
         self._queue.settle(ticket, cost)
         self._policy.note_release(slot)
@@ -240,7 +240,7 @@
         return not limit or running < limit
 
     def _may_start(self, ticket: fair_queue.Ticket) -> bool:
-        return self._policy.may_start(ticket.outlook, self._running.keys())
+        return self._policy.may_start(ticket.estimate, self._running.keys())
 
     def _let_short_pass(self, head: fair_queue.Ticket, now_ms: float) -> bool:
         """Start a short answer before a long one that has to wait.
@@ -248,11 +248,11 @@
         Only so many pass one head: each takes a little of the memory that
         the head waits for, and without a bound it could wait for ever.
         """
-        if head.outlook.is_short or head.passed >= _MOST_PASSES:
+        if head.estimate.is_short or head.passed >= _MOST_PASSES:
             return False
 
         def allow(ticket: fair_queue.Ticket) -> bool:
-            return ticket.outlook.is_short and self._is_within_limit(ticket)
+            return ticket.estimate.is_short and self._is_within_limit(ticket)
 
         short = self._queue.find_next(now_ms, allow)
         if short is None or not self._may_start(short):
@@ -264,7 +264,7 @@
     def _start(self, ticket: fair_queue.Ticket, now_ms: float) -> None:
         self._queue.serve(ticket, now_ms)
         slot = admission_policy.Slot(
-            ticket.profile, ticket.outlook, self, now_ms
+            ticket.profile, ticket.estimate, self, now_ms
         )
         self._policy.note_start(slot)
         self._running[slot] = None
@@ -279,13 +279,13 @@
         slot: admission_policy.Slot,
         gap_ms: typing.Optional[float],
         *,
-        new_class: bool,
+        is_new_bin: bool,
     ) -> None:
         """Take note of a token, and decide anew if it may matter."""
         self._policy.note_token(slot, gap_ms)
         if gap_ms is not None:
             self._meter.note_gap(gap_ms)
-        if not self._queue.count() or not (new_class or slot.preempted):
+        if not self._queue.count() or not (is_new_bin or slot.preempted):
             return
         if deadlines.read_clock_ms() - self._decided_ms >= _PROGRESS_MS:
             self._decide()
@@ -298,4 +298,4 @@
         self, slot: admission_policy.Slot, prompt_tokens: int
     ) -> None:
         """Learn the size of the prompt."""
-        self._outlooks.note_prompt(slot.profile.prompt, prompt_tokens)
+        self._estimator.note_prompt(slot.profile.prompt, prompt_tokens)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policies.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policies.py
@@ -1,9 +1,9 @@
 """The admission policies by the names that the settings allow."""
 
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import baseline_policies
 from gentianpoint_agent import predictive_policy
-from gentianpoint_agent import service_in_force
 from gentianpoint_agent.generated import settings as agent_settings
 
 __all__ = ("make_admission_policy",)
@@ -11,7 +11,7 @@
 
 def make_admission_policy(
     settings: agent_settings.AgentSettings,
-    service: service_in_force.ServiceInForce,
+    service: applied_service.AppliedService,
 ) -> admission_policy.AdmissionPolicy:
     """Return the policy that the settings name.
 
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policy.py
@@ -4,16 +4,16 @@
 from collections import abc as collections_abc
 import typing
 
-from gentianpoint_agent import length_classes
+from gentianpoint_agent import length_estimators
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 
 __all__ = (
     "AdmissionPolicy",
-    "CallOutlook",
+    "CallEstimate",
     "CallProfile",
     "Slot",
-    "SlotWatcher",
+    "SlotObserver",
 )
 
 
@@ -36,10 +36,10 @@
     """After this the call must not start."""
 
 
-class CallOutlook(typing.NamedTuple):
+class CallEstimate(typing.NamedTuple):
     """What is expected of a call before it runs."""
 
-    length: length_classes.StreamLength
+    length: length_estimators.StreamLength
     """Length of its answer, which grows while it runs."""
     prompt_tokens: int
     """Expected tokens of its prompt."""
@@ -53,17 +53,17 @@
     """True when the answer is almost surely short."""
 
 
-class SlotWatcher(abc.ABC):
+class SlotObserver(abc.ABC):
     """Is told what happens to running calls."""
 
     @abc.abstractmethod
     def note_token(
-        self, slot: "Slot", gap_ms: typing.Optional[float], *, new_class: bool
+        self, slot: "Slot", gap_ms: typing.Optional[float], *, is_new_bin: bool
     ) -> None:
         """Take note of a token.
 
         ``gap_ms`` is the time since the last, None when that tells nothing
-        of the engine's pace; ``new_class`` when the answer grew into
+        of the engine's pace; ``is_new_bin`` when the answer grew into
         another length class. Called for each token, so it must take
         constant time.
         """
@@ -83,13 +83,13 @@
     def __init__(
         self,
         profile: CallProfile,
-        outlook: CallOutlook,
-        watcher: SlotWatcher,
+        estimate: CallEstimate,
+        watcher: SlotObserver,
         started_ms: float,
     ) -> None:
         """Make the place of a call that starts now."""
         self.profile: typing.Final = profile
-        self.outlook: typing.Final = outlook
+        self.estimate: typing.Final = estimate
         self.started_ms: typing.Final = started_ms
         self.tokens = 0
         self.preempted = False
@@ -108,8 +108,8 @@
             gap_ms = now_ms - self._last_token_ms
         self._last_token_ms = now_ms
         self.tokens += 1
-        new_class = self.outlook.length.add_token()
-        self._watcher.note_token(self, gap_ms, new_class=new_class)
+        is_new_bin = self.estimate.length.add_token()
+        self._watcher.note_token(self, gap_ms, is_new_bin=is_new_bin)
         self.preempted = False
 
     def note_preemption(self) -> None:
@@ -125,7 +125,7 @@
         cut, and its length is known to be at least what came.
         """
         if end == "stop":
-            self.outlook.length.end()
+            self.estimate.length.end()
         self._watcher.note_end(self, prompt_tokens)
 
 
@@ -139,7 +139,7 @@
     @abc.abstractmethod
     def may_start(
         self,
-        outlook: CallOutlook,
+        estimate: CallEstimate,
         running: collections_abc.Collection[Slot],
     ) -> bool:
         """Tell whether a call may start beside those running.
@@ -154,7 +154,7 @@
 
     @abc.abstractmethod
     def note_token(self, slot: Slot, gap_ms: typing.Optional[float]) -> None:
-        """Take note of a token; see :meth:`SlotWatcher.note_token`.
+        """Take note of a token; see :meth:`SlotObserver.note_token`.
 
         ``slot.preempted`` still tells whether the stream comes back from a
         preemption with this token.
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
@@ -14,6 +14,8 @@
 from gentianpoint_agent import admission
 from gentianpoint_agent import admission_policies
 from gentianpoint_agent import agent_state
+from gentianpoint_agent import applied_service
+from gentianpoint_agent import cached_prefixes
 from gentianpoint_agent import call_runner
 from gentianpoint_agent import engine_orders
 from gentianpoint_agent import engine_runner
@@ -23,8 +25,6 @@
 from gentianpoint_agent import order_stream
 from gentianpoint_agent import order_turns
 from gentianpoint_agent import plain_runner
-from gentianpoint_agent import prefix_beliefs
-from gentianpoint_agent import service_in_force
 from gentianpoint_agent import weight_reads
 from gentianpoint_agent.generated import settings as agent_settings
 from gentianpoint_core import deadlines
@@ -136,7 +136,7 @@
             available = True
             last = state.control.load
             if last is not None and last.boot != load.boot:
-                state.prefixes.forget()
+                state.prefixes.clear()
             state.note_report(load)
             if load.reclaim_in_ms is not None:
                 state.lifecycle.start_leaving("the engine is reclaimed")
@@ -258,7 +258,7 @@
         trio.open_nursery() as calls,
         trio.open_nursery() as nursery,
     ):
-        service = service_in_force.ServiceInForce(
+        service = applied_service.AppliedService(
             settings.service,
             deadlines.make_deadline(settings.unload_undeclared_ms),
         )
@@ -291,7 +291,7 @@
             nursery.start_soon(_watch_engine, state, engine)
             nursery.start_soon(_drive_engine, state, engine, client)
             nursery.start_soon(
-                prefix_beliefs.watch_cache_events, engine, state.prefixes
+                cached_prefixes.watch_cache_events, engine, state.prefixes
             )
         await state.lifecycle.wait_stopping()
         with trio.move_on_after(settings.shutdown_within_ms / 1000) as scope:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
@@ -6,12 +6,12 @@
 import trio
 
 from gentianpoint_agent import admission
+from gentianpoint_agent import applied_service
+from gentianpoint_agent import cached_prefixes
 from gentianpoint_agent import call_runner
 from gentianpoint_agent import generation_table
 from gentianpoint_agent import generations
 from gentianpoint_agent import lifecycle
-from gentianpoint_agent import prefix_beliefs
-from gentianpoint_agent import service_in_force
 from gentianpoint_agent.generated import settings as agent_settings
 from gentianpoint_core import deadlines
 from gentianpoint_core import logs
@@ -50,7 +50,7 @@
         nursery: trio.Nursery,
         control: admission.AdmissionControl,
         runner: call_runner.CallRunner,
-        service: service_in_force.ServiceInForce,
+        service: applied_service.AppliedService,
     ) -> None:
         """Run calls in ``nursery`` by ``runner``."""
         self.settings: typing.Final = settings
@@ -64,7 +64,7 @@
         self.service: typing.Final = service
         self.control: typing.Final = control
         self.connections: typing.Final[set[OpenConnection]] = set()
-        self.prefixes: typing.Final = prefix_beliefs.PrefixBelief()
+        self.prefixes: typing.Final = cached_prefixes.CachedPrefixes()
         self.hold_reason = ""
         self._report_until = deadlines.Deadline(0.0)
         self._nursery: typing.Final = nursery
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/service_in_force.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/applied_service.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from gentianpoint_agent import wanted_states
+from gentianpoint_agent import desired_states
 from gentianpoint_core import deadlines
 from gentianpoint_core import logs
 from gentianpoint_core import specifications
@@ -12,7 +12,7 @@
 from gentianpoint_core.generated import messages
 from gentianpoint_core.generated import resources
 
-__all__ = ("ServiceInForce",)
+__all__ = ("AppliedService",)
 
 _UNDECLARED: typing.Final[resources.ServiceSpec] = {
     "kind": "model",
@@ -26,7 +26,7 @@
     return specifications.decode_service(service)
 
 
-class ServiceInForce:
+class AppliedService:
     """What entries told about the service, of which the newest counts.
 
     Several entries tell, some later than others. An entry that was paused
@@ -52,19 +52,19 @@
         self._changed = trio.Event()
         self._unload_at = unload_at
 
-    def read_wanted(self) -> wanted_states.WantedState:
+    def get_desired_state(self) -> desired_states.DesiredState:
         """Return what the service's engines are to hold.
 
         A service that was deleted is to be unloaded at once. One that was
         not declared since this process started may have been deleted
         before, or may be declared soon: its engine is left for a while.
         """
-        wanted = wanted_states.read_spec(self.spec)
+        wanted = desired_states.make_desired_state(self.spec)
         if self.offset and not self.revision:
             return wanted._replace(unloaded=self._unload_at.is_past())
         return wanted
 
-    def take(self, message: messages.Configure) -> bool:
+    def apply(self, message: messages.Configure) -> bool:
         """Take the resource if it is newer; tell whether it was.
 
         Raises :class:`msgspec.DecodeError`, and changes nothing, when the
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/baseline_policies.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/baseline_policies.py
@@ -53,7 +53,7 @@
 
     def may_start(
         self,
-        outlook: admission_policy.CallOutlook,
+        estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
         """Return True."""
@@ -69,7 +69,7 @@
 
     def may_start(
         self,
-        outlook: admission_policy.CallOutlook,
+        estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
         """Tell whether fewer calls run than may."""
@@ -82,18 +82,20 @@
     def __init__(self) -> None:
         self._load: typing.Optional[ports.EngineLoad] = None
 
-    def _reserve_tokens(self, outlook: admission_policy.CallOutlook) -> float:
+    def _reserve_tokens(
+        self, estimate: admission_policy.CallEstimate
+    ) -> float:
         raise NotImplementedError
 
     def _reserve_blocks(
-        self, outlook: admission_policy.CallOutlook, block_tokens: int
+        self, estimate: admission_policy.CallEstimate, block_tokens: int
     ) -> float:
-        tokens = outlook.prompt_tokens + self._reserve_tokens(outlook)
+        tokens = estimate.prompt_tokens + self._reserve_tokens(estimate)
         return -(-tokens // block_tokens)
 
     def may_start(
         self,
-        outlook: admission_policy.CallOutlook,
+        estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
         """Tell whether all reservations fit the memory."""
@@ -101,10 +103,10 @@
         if load is None or not running:
             return not running
         reserved = sum(
-            self._reserve_blocks(slot.outlook, load.block_tokens)
+            self._reserve_blocks(slot.estimate, load.block_tokens)
             for slot in running
         )
-        wanted = self._reserve_blocks(outlook, load.block_tokens)
+        wanted = self._reserve_blocks(estimate, load.block_tokens)
         return reserved + wanted <= load.blocks
 
     def note_load(
@@ -119,8 +121,10 @@
 class ReserveMaximumPolicy(_ReservePolicy):
     """Reserves the most tokens that a call may bring."""
 
-    def _reserve_tokens(self, outlook: admission_policy.CallOutlook) -> float:
-        return outlook.max_tokens or _UNLIMITED_TOKENS
+    def _reserve_tokens(
+        self, estimate: admission_policy.CallEstimate
+    ) -> float:
+        return estimate.max_tokens or _UNLIMITED_TOKENS
 
 
 class ReserveMeanPolicy(_ReservePolicy):
@@ -132,7 +136,9 @@
         self._mean = float(_UNLIMITED_TOKENS)
         self._calls = 0
 
-    def _reserve_tokens(self, outlook: admission_policy.CallOutlook) -> float:
+    def _reserve_tokens(
+        self, estimate: admission_policy.CallEstimate
+    ) -> float:
         return self._mean
 
     def note_release(self, slot: admission_policy.Slot) -> None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/prefix_beliefs.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/cached_prefixes.py
@@ -15,14 +15,14 @@
 
 from gentianpoint_core import ports
 
-__all__ = ("PrefixBelief", "watch_cache_events")
+__all__ = ("CachedPrefixes", "watch_cache_events")
 
 _MOST_BELIEVED: typing.Final = 4096
 _WAIT_MS: typing.Final = 2000
 _PAUSE_S: typing.Final = 0.2
 
 
-class PrefixBelief:
+class CachedPrefixes:
     """Digests of prefixes, the most recent first, bounded in number."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         )
         self._last = 0
 
-    def get_last(self) -> int:
+    def get_last_sequence(self) -> int:
         """Return the number of the last event taken."""
         return self._last
 
@@ -40,16 +40,16 @@
         """Return up to ``most`` digests, the most recent first."""
         return tuple(itertools.islice(reversed(self._held), most))
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Believe nothing, and take events from the first on."""
         self._held.clear()
         self._last = 0
 
-    def take(self, events: ports.CacheEvents) -> None:
+    def apply(self, events: ports.CacheEvents) -> None:
         """Follow what the engine published after the last event taken."""
         if events.last < self._last:
             # The engine counts anew, so it was restarted with an empty cache.
-            self.forget()
+            self.clear()
         for event in events.events:
             if event.sequence <= self._last:
                 continue
@@ -73,21 +73,21 @@
 
 
 async def watch_cache_events(
-    engine: ports.Engine, belief: PrefixBelief
+    engine: ports.Engine, belief: CachedPrefixes
 ) -> None:
     """Follow the engine's cache for ever."""
     while True:
         try:
             events = await engine.read_cache_events(
-                belief.get_last(), _WAIT_MS
+                belief.get_last_sequence(), _WAIT_MS
             )
         except ports.PortError:
             # The watch of the load tells of an engine that is away. What was
             # held may be gone when it comes back.
-            belief.forget()
+            belief.clear()
             await trio.sleep(_PAUSE_S)
             continue
-        belief.take(events)
+        belief.apply(events)
         # A busy engine always has a new event; one reading for each would
         # cost more than the prefixes save.
         await trio.sleep(_PAUSE_S)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/outlooks.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_estimates.py
@@ -3,27 +3,27 @@
 import typing
 
 from gentianpoint_agent import admission_policy
-from gentianpoint_agent import length_classes
+from gentianpoint_agent import length_estimators
 from gentianpoint_agent import prompt_sizes
 
-__all__ = ("OutlookMaker",)
+__all__ = ("CallEstimator",)
 
 _SHORT_TOKENS: typing.Final = 64
 _SHORT_SHARE: typing.Final = 0.9
 _PROMPT_COST: typing.Final = 0.1
 
 
-class OutlookMaker:
+class CallEstimator:
     """Learns lengths of answers and sizes of prompts at one target."""
 
     def __init__(self) -> None:
         """Know nothing."""
-        self.lengths: typing.Final = length_classes.LengthLearner()
+        self.lengths: typing.Final = length_estimators.LengthEstimator()
         self._prompts: typing.Final = prompt_sizes.PromptSizes()
 
-    def make_outlook(
+    def estimate_call(
         self, profile: admission_policy.CallProfile, service_limit: int
-    ) -> admission_policy.CallOutlook:
+    ) -> admission_policy.CallEstimate:
         """Return what to expect of a call.
 
         ``service_limit`` is the service's most tokens of an answer; 0 for
@@ -35,7 +35,7 @@
         limit = min(limits, default=0)
         # By the limit that was asked for, not the one in force: a program
         # that sets none is another than one that sets the service's.
-        length = self.lengths.find_stream(
+        length = self.lengths.make_stream(
             profile.customer, profile.prompt, profile.max_tokens
         )
         expected = length.distribution.find_mean()
@@ -43,7 +43,7 @@
         if limit:
             expected, likely = min(expected, limit), min(likely, limit)
         prompt_tokens = self._prompts.estimate(profile.prompt)
-        return admission_policy.CallOutlook(
+        return admission_policy.CallEstimate(
             length,
             prompt_tokens,
             limit,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -148,7 +148,7 @@
         tracer = telemetry.get_tracer()
         waiting = tracer.start_span("wait for admission")
         try:
-            async with self._control.enter(profile) as slot:
+            async with self._control.admit(profile) as slot:
                 waiting.end()
                 self._check_start(generation, order)
                 with tracer.start_as_current_span("target stream"):
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/wanted_states.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/desired_states.py
@@ -9,9 +9,9 @@
     "LOAD",
     "ROLE",
     "UNLOAD",
-    "WantedState",
+    "DesiredState",
     "choose_order",
-    "read_spec",
+    "make_desired_state",
 )
 
 LOAD: typing.Final = "load"
@@ -20,7 +20,7 @@
 _UNLOADED: typing.Final = "unloaded"
 
 
-class WantedState(typing.NamedTuple):
+class DesiredState(typing.NamedTuple):
     """What an engine shall hold."""
 
     unloaded: bool
@@ -35,9 +35,9 @@
     """Role; empty for whichever the engine has."""
 
 
-def read_spec(spec: resources.ServiceSpec) -> WantedState:
+def make_desired_state(spec: resources.ServiceSpec) -> DesiredState:
     """Return what ``spec`` wants."""
-    return WantedState(
+    return DesiredState(
         spec.get("state", "") == _UNLOADED,
         spec.get("model", ""),
         spec.get("adapter", ""),
@@ -46,7 +46,7 @@
     )
 
 
-def choose_order(wanted: WantedState, load: ports.EngineLoad) -> str:
+def choose_order(wanted: DesiredState, load: ports.EngineLoad) -> str:
     """Return the next order that leads to ``wanted``; empty for none.
 
     What is loaded comes before the role: an engine that took the role with
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
@@ -18,7 +18,7 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 
-__all__ = ("EnginePlace", "EngineAnnouncement")
+__all__ = ("EngineAnnouncer", "EngineLocation")
 
 _ASK_S: typing.Final = 0.25
 """Pause before an engine that is not well yet is asked for its name again."""
@@ -32,7 +32,7 @@
 """Time in which an entry that takes the message closes the connection."""
 
 
-class EnginePlace(typing.NamedTuple):
+class EngineLocation(typing.NamedTuple):
     """Where an engine is, as its agent's settings say."""
 
     service: str
@@ -43,12 +43,12 @@
     """Its data centre."""
 
 
-class EngineAnnouncement:
+class EngineAnnouncer:
     """Tells some entries, which pass it on to the others."""
 
     def __init__(
         self,
-        place: EnginePlace,
+        place: EngineLocation,
         source: ports.EngineStatusSource,
         entries: abc.Sequence[str],
     ) -> None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
@@ -80,7 +80,7 @@
             else:
                 failures = 0
                 self._take_status(status)
-            self._turns.give_next()
+            self._turns.grant_next()
             await trio.sleep(ASK_S)
 
     def _take_status(self, status: ports.EngineStatus) -> None:
@@ -126,13 +126,13 @@
     ) -> None:
         match message["type"]:
             case "move_wanted":
-                self._turns.want(
-                    move_turns.MoveTurn(
+                self._turns.request_turn(
+                    move_turns.MoveRequest(
                         message["request"], message["tokens"], given
                     )
                 )
             case "move_done":
-                self._turns.give_back(message["request"])
+                self._turns.release_turn(message["request"])
 
     async def _send_changes(
         self, connection: peer_connections.PeerConnection
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -14,10 +14,10 @@
 import trio
 
 from gentianpoint_agent import agent_state
+from gentianpoint_agent import desired_states
 from gentianpoint_agent import order_leases
 from gentianpoint_agent import order_stream
 from gentianpoint_agent import order_turns
-from gentianpoint_agent import wanted_states
 from gentianpoint_agent import weight_reads
 from gentianpoint_core import deadlines
 from gentianpoint_core import logs
@@ -34,9 +34,9 @@
 _REPLICAS_A_TURN: typing.Final = 4
 """Of this many replicas one may be away for an order at a time."""
 _HOLDS: typing.Final[abc.Mapping[str, str]] = {
-    wanted_states.LOAD: "the target loads another version",
-    wanted_states.ROLE: "the target changes its role",
-    wanted_states.UNLOAD: "the service is declared unloaded",
+    desired_states.LOAD: "the target loads another version",
+    desired_states.ROLE: "the target changes its role",
+    desired_states.UNLOAD: "the service is declared unloaded",
 }
 _EMPTY: typing.Final = "the target has nothing loaded yet"
 
@@ -45,12 +45,12 @@
     """One order that is needed, and for what."""
 
     order: str
-    wanted: wanted_states.WantedState
+    wanted: desired_states.DesiredState
     load: ports.EngineLoad
 
     def is_first_load(self) -> bool:
         """Tell whether the engine is of no use until it is done."""
-        return self.order == wanted_states.LOAD and not self.load.model
+        return self.order == desired_states.LOAD and not self.load.model
 
 
 class EngineOrders:
@@ -132,8 +132,8 @@
         # turn that others need, by what it last reported.
         if load is None or load.loading or self._state.is_report_stale():
             return None
-        wanted = self._state.service.read_wanted()
-        order = wanted_states.choose_order(wanted, load)
+        wanted = self._state.service.get_desired_state()
+        order = desired_states.choose_order(wanted, load)
         return _Task(order, wanted, load) if order else None
 
     def _is_still_wanted(self, task: _Task) -> bool:
@@ -143,13 +143,13 @@
     def _hold_if_useless(self) -> None:
         """Refuse calls at once that the engine would refuse or cut."""
         load = self._state.control.load
-        wanted = self._state.service.read_wanted()
+        wanted = self._state.service.get_desired_state()
         if wanted.unloaded:
-            self._state.hold(_HOLDS[wanted_states.UNLOAD])
+            self._state.hold(_HOLDS[desired_states.UNLOAD])
         elif load is not None and load.loading:
             # An earlier run of this agent gave an order that is still being
             # carried out; calls taken now would be cut by its effect.
-            self._state.hold(_HOLDS[wanted_states.LOAD])
+            self._state.hold(_HOLDS[desired_states.LOAD])
         elif wanted.model and load is not None and not load.model:
             self._state.hold(_EMPTY)
         else:
@@ -157,7 +157,7 @@
 
     async def _put_right(self, task: _Task) -> None:
         size = 0
-        if task.order == wanted_states.LOAD:
+        if task.order == desired_states.LOAD:
             size = await self._reads.measure(task.wanted, task.load)
         if task.is_first_load():
             await self._load_first(task, size)
@@ -165,7 +165,7 @@
         if not await self._has_claim():
             return
         is_wanted = functools.partial(self._is_still_wanted, task)
-        if task.order != wanted_states.UNLOAD and not await self._turns.take(
+        if task.order != desired_states.UNLOAD and not await self._turns.take(
             1, self._count_turns, is_wanted
         ):
             return
@@ -306,7 +306,7 @@
             load = self._state.control.load
             if load is None or load.loading:
                 effect_by = deadlines.make_deadline(_TAKE_EFFECT_MS)
-            elif wanted_states.choose_order(task.wanted, load) != task.order:
+            elif desired_states.choose_order(task.wanted, load) != task.order:
                 logs.log_event(
                     events.ORDER_FULFILLED,
                     order=task.order,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
@@ -6,9 +6,9 @@
 
 from gentianpoint_agent import admission
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import call_runner
 from gentianpoint_agent import generations
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import errors
 from gentianpoint_core import logs
@@ -81,7 +81,7 @@
         self,
         control: admission.AdmissionControl,
         engine: ports.Engine,
-        service: service_in_force.ServiceInForce,
+        service: applied_service.AppliedService,
         instruments: telemetry.GenerationInstruments,
     ) -> None:
         """Run on ``engine`` what ``service`` declares."""
@@ -119,7 +119,7 @@
         """
         pace = _Pace(self._service.name, self._instruments)
         pace.is_burst = True
-        with self._control.hold_running(_make_profile(generation)) as slot:
+        with self._control.admit_running(_make_profile(generation)) as slot:
             try:
                 end = None
                 while end is None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
@@ -407,7 +407,7 @@
 
     async def _configure(self, message: messages.Configure) -> None:
         try:
-            self._state.service.take(message)
+            self._state.service.apply(message)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             raise self._refuse_message(str(error)) from error
         await self._connection.send(
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
@@ -36,13 +36,13 @@
     def __init__(
         self,
         profile: admission_policy.CallProfile,
-        outlook: admission_policy.CallOutlook,
+        estimate: admission_policy.CallEstimate,
         arrived_ms: float,
         give_up: deadlines.Deadline,
     ) -> None:
         """Make the ticket of a call that arrives."""
         self.profile: typing.Final = profile
-        self.outlook: typing.Final = outlook
+        self.estimate: typing.Final = estimate
         self.arrived_ms: typing.Final = arrived_ms
         self.give_up: typing.Final = give_up
         self.number = 0
@@ -68,11 +68,11 @@
         ] = {}
 
     def add(self, ticket: Ticket) -> None:
-        key = (ticket.profile.customer, ticket.outlook.is_short)
+        key = (ticket.profile.customer, ticket.estimate.is_short)
         self.lines.setdefault(key, collections.deque()).append(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        key = (ticket.profile.customer, ticket.outlook.is_short)
+        key = (ticket.profile.customer, ticket.estimate.is_short)
         line = self.lines[key]
         line.remove(ticket)
         if not line:
@@ -165,7 +165,7 @@
         self._take_out(ticket)
         self._clock = max(self._clock, tag)
         self._finishes[ticket.profile.customer] = (
-            tag + ticket.outlook.cost / ticket.find_weight()
+            tag + ticket.estimate.cost / ticket.find_weight()
         )
         self._forget_idle()
         self._bands[ticket.profile.priority].served_ms = now_ms
@@ -175,7 +175,7 @@
         customer = ticket.profile.customer
         finish = self._finishes.get(customer)
         if finish is not None:
-            excess = (cost - ticket.outlook.cost) / ticket.find_weight()
+            excess = (cost - ticket.estimate.cost) / ticket.find_weight()
             self._finishes[customer] = max(0.0, finish + excess)
 
     def find_next(
@@ -220,7 +220,9 @@
                 customer = row.profile.customer
                 tag = finishes.get(customer, self._find_tag(row))
                 yield row, tag
-                finishes[customer] = tag + row.outlook.cost / row.find_weight()
+                finishes[customer] = (
+                    tag + row.estimate.cost / row.find_weight()
+                )
 
     def find_victim(self, newcomer: Ticket) -> Ticket:
         """Return the call to refuse when one too many waits.
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/length_classes.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/length_estimators.py
@@ -14,7 +14,7 @@
 
 from gentianpoint_agent import length_distributions
 
-__all__ = ("LengthLearner", "StreamLength")
+__all__ = ("LengthEstimator", "StreamLength")
 
 _KINDS_KEPT: typing.Final = 96
 _OPENING_CHARACTERS: typing.Final = 24
@@ -63,7 +63,7 @@
         self._kinds.pop(rarest, None)
         return self._counts.pop(rarest)
 
-    def count_kinds(self) -> int:
+    def count_groups(self) -> int:
         """Return the number of kinds kept."""
         return len(self._counts)
 
@@ -101,7 +101,7 @@
             kind.add_end(self._place)
 
 
-class LengthLearner:
+class LengthEstimator:
     """What is known of the lengths of all answers of a target."""
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
         self._openings: typing.Final = _KindTable()
         self._templates: typing.Final = _KindTable()
 
-    def find_stream(
+    def make_stream(
         self, customer: str, prompt: str, max_tokens: int
     ) -> StreamLength:
         """Return the length of a new stream, not started yet.
@@ -142,11 +142,11 @@
                 chain.append(kind)
         return StreamLength(chain)
 
-    def count_kinds(self) -> int:
+    def count_groups(self) -> int:
         """Return the number of kinds kept apart."""
         return (
             len(self._limits)
-            + self._customers.count_kinds()
-            + self._openings.count_kinds()
-            + self._templates.count_kinds()
+            + self._customers.count_groups()
+            + self._openings.count_groups()
+            + self._templates.count_groups()
         )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
@@ -175,7 +175,7 @@
         if not self._summands:
             self._sums = _Sums(self.block_tokens)
 
-    def find_due(self, now_ms: float) -> abc.Sequence[abc.Hashable]:
+    def list_due(self, now_ms: float) -> abc.Sequence[abc.Hashable]:
         """Return the streams to renew now, a few at most."""
         first = itertools.islice(self._summands.items(), _RENEWED_AT_ONCE)
         return [key for key, row in first if row.renew_at_ms <= now_ms]
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
@@ -42,18 +42,18 @@
 
     def add(self, slot: admission_policy.Slot, now_ms: float) -> None:
         """Count the blocks of a stream that starts or comes back."""
-        outlook = slot.outlook
-        blocks = self._count_blocks(outlook.prompt_tokens + slot.tokens + 1)
+        estimate = slot.estimate
+        blocks = self._count_blocks(estimate.prompt_tokens + slot.tokens + 1)
         self._held[slot] = blocks
         self._total += blocks
-        self._prompts += self._count_blocks(outlook.prompt_tokens)
+        self._prompts += self._count_blocks(estimate.prompt_tokens)
         self._sample(now_ms)
 
     def grow(self, slot: admission_policy.Slot, now_ms: float) -> None:
         """Count the block that a token began, if it did."""
         if not self._block_tokens or slot not in self._held:
             return
-        tokens = slot.outlook.prompt_tokens + slot.tokens
+        tokens = slot.estimate.prompt_tokens + slot.tokens
         if tokens % self._block_tokens == 0:
             self._held[slot] += 1
             self._total += 1
@@ -64,7 +64,7 @@
         blocks = self._held.pop(slot, None)
         if blocks is not None:
             self._total -= blocks
-            self._prompts -= self._count_blocks(slot.outlook.prompt_tokens)
+            self._prompts -= self._count_blocks(slot.estimate.prompt_tokens)
             self._sample(now_ms)
 
     def _sample(self, now_ms: float) -> None:
@@ -113,7 +113,7 @@
         self._block_tokens = block_tokens
         self._total = self._prompts = 0
         for slot in self._held:
-            prompt = slot.outlook.prompt_tokens
+            prompt = slot.estimate.prompt_tokens
             blocks = self._count_blocks(prompt + slot.tokens + 1)
             self._held[slot] = blocks
             self._total += blocks
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
@@ -12,7 +12,7 @@
 
 import trio
 
-__all__ = ("MoveTurn", "MoveTurns")
+__all__ = ("MoveRequest", "MoveTurns")
 
 _TURN_S: typing.Final = 1.5
 """Time after which a turn that was not given back ends. Copying the memory of
@@ -20,7 +20,7 @@
 copy beside it would keep both from their end."""
 
 
-class MoveTurn(typing.NamedTuple):
+class MoveRequest(typing.NamedTuple):
     """A generation that wants to move, or moves."""
 
     request: str
@@ -36,23 +36,23 @@
 
     def __init__(self) -> None:
         """Start with nobody waiting."""
-        self._waiting: typing.Final[list[MoveTurn]] = []
-        self._moving: typing.Optional[MoveTurn] = None
+        self._waiting: typing.Final[list[MoveRequest]] = []
+        self._moving: typing.Optional[MoveRequest] = None
         self._ends_at = 0.0
 
-    def want(self, turn: MoveTurn) -> None:
+    def request_turn(self, turn: MoveRequest) -> None:
         """Wait for the turn."""
         self._waiting.append(turn)
-        self.give_next()
+        self.grant_next()
 
-    def give_back(self, request: str) -> None:
+    def release_turn(self, request: str) -> None:
         """End a turn, or the wait for it."""
         if self._moving is not None and self._moving.request == request:
             self._moving = None
         self._waiting[:] = [
             turn for turn in self._waiting if turn.request != request
         ]
-        self.give_next()
+        self.grant_next()
 
     def drop_entry(self, channel: "trio.MemorySendChannel[str]") -> None:
         """Forget what an entry wanted whose connection is lost."""
@@ -61,9 +61,9 @@
         ]
         if self._moving is not None and self._moving.channel is channel:
             self._moving = None
-        self.give_next()
+        self.grant_next()
 
-    def give_next(self) -> None:
+    def grant_next(self) -> None:
         """Give the turn on, if it is free or overdue."""
         now = trio.current_time()
         if self._moving is not None and now < self._ends_at:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
@@ -11,10 +11,10 @@
 import typing
 
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import memory_forecasts
 from gentianpoint_agent import memory_ledger
 from gentianpoint_agent import pace_limits
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 
@@ -55,7 +55,7 @@
 class PredictivePolicy(admission_policy.AdmissionPolicy):
     """Admits by forecast memory and measured pace."""
 
-    def __init__(self, service: service_in_force.ServiceInForce) -> None:
+    def __init__(self, service: applied_service.AppliedService) -> None:
         """Follow the objective that ``service`` declares."""
         self._service: typing.Final = service
         self._load: typing.Optional[ports.EngineLoad] = None
@@ -75,7 +75,7 @@
 
     def may_start(
         self,
-        outlook: admission_policy.CallOutlook,
+        estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
         """Tell whether memory and pace allow one more call."""
@@ -88,21 +88,23 @@
             return True
         if self._preempted or self._stuck:
             return False
-        if not self._pace.allows(len(running), is_short=outlook.is_short):
+        if not self._pace.allows(len(running), is_short=estimate.is_short):
             return False
         peak = self._read_forecast(running, load).find_peak_with(
-            self._describe(outlook, 0), self._find_deviations(outlook)
+            self._describe(estimate, 0), self._find_deviations(estimate)
         )
         return peak + self._ledger.foreign_blocks <= load.blocks
 
-    def _find_deviations(self, outlook: admission_policy.CallOutlook) -> float:
+    def _find_deviations(
+        self, estimate: admission_policy.CallEstimate
+    ) -> float:
         """Return the standard deviations to keep free for one more call.
 
         While few answers have been seen to end, the forecast itself is a
         guess: a first burst of calls would be admitted on it and preempt
         one another. So more is kept free until lengths are learned.
         """
-        known = outlook.length.distribution.count_known()
+        known = estimate.length.distribution.count_known()
         unlearned = _LEARNING_STREAMS / (_LEARNING_STREAMS + known)
         return (
             self._find_objective().deviations
@@ -114,14 +116,14 @@
         return self._ledger.estimate_used() >= _NEARLY_OUT * load.blocks
 
     def _describe(
-        self, outlook: admission_policy.CallOutlook, tokens: int
+        self, estimate: admission_policy.CallEstimate, tokens: int
     ) -> memory_forecasts.StreamMemory:
         share = self._ledger.prompt_share
         return memory_forecasts.StreamMemory(
-            outlook.length.distribution,
-            int(outlook.prompt_tokens * share),
+            estimate.length.distribution,
+            int(estimate.prompt_tokens * share),
             tokens,
-            outlook.max_tokens,
+            estimate.max_tokens,
         )
 
     def _read_forecast(
@@ -143,7 +145,7 @@
             for slot in running:
                 self._add_to(forecast, slot, now_ms)
             return forecast
-        for key in forecast.find_due(now_ms):
+        for key in forecast.list_due(now_ms):
             forecast.remove(key)
             if isinstance(key, admission_policy.Slot):
                 self._add_to(forecast, key, now_ms)
@@ -155,7 +157,7 @@
         slot: admission_policy.Slot,
         now_ms: float,
     ) -> None:
-        stream = self._describe(slot.outlook, slot.tokens)
+        stream = self._describe(slot.estimate, slot.tokens)
         forecast.add(slot, stream, now_ms + _RENEWED_EACH_MS)
 
     def note_start(self, slot: admission_policy.Slot) -> None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
@@ -9,8 +9,8 @@
 import random
 import typing
 
+from gentianpoint_agent import desired_states
 from gentianpoint_agent import order_turns
-from gentianpoint_agent import wanted_states
 from gentianpoint_core import logs
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
@@ -44,7 +44,7 @@
         return self._rate * _WINDOW_S
 
     async def measure(
-        self, wanted: wanted_states.WantedState, load: ports.EngineLoad
+        self, wanted: desired_states.DesiredState, load: ports.EngineLoad
     ) -> int:
         """Return the bytes that a load from ``load`` to ``wanted`` reads."""
         if self._store is None:
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -80,10 +80,10 @@
 
 
 def start_engine(context, service, well_at=1, address=ENGINE_ADDRESS):
-    place = engine_announcement.EnginePlace(service, address, "north")
+    place = engine_announcement.EngineLocation(service, address, "north")
 
     async def run():
-        announcement = engine_announcement.EngineAnnouncement(
+        announcement = engine_announcement.EngineAnnouncer(
             place, FakeEngine(well_at), context.seeds
         )
         async with trio.open_nursery() as nursery:
