--- a/bench/weight_turns.py
+++ b/bench/weight_turns.py
@@ -112,16 +112,16 @@
     target = f"modelo-taller-{number:04}"
     stream = order_stream.OrderStream(log, target, f"{number:016x}")
     lease = order_leases.OrderLease(stream, _LEASE_MS)
-    turns = order_turns.Turns(stream, order_records.WEIGHTS, _TURN_MS)
+    turns = order_turns.TurnClient(stream, order_records.WEIGHTS, _TURN_MS)
     await lease.claim()
-    taken = await turns.take(1, lambda: _AT_ONCE, lambda: True)
+    taken = await turns.acquire(1, lambda: _AT_ONCE, lambda: True)
     assert taken
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(turns.keep_up)
+        nursery.start_soon(turns.keep_renewed)
         await lease.renew()
         await store.read()
         nursery.cancel_scope.cancel()
-    await turns.give_back()
+    await turns.release()
 
 
 async def _bring_back(count: int) -> _Outcome:
--- a/packages/gentianpoint-agent/features/order_builders.py
+++ b/packages/gentianpoint-agent/features/order_builders.py
@@ -104,7 +104,7 @@
         self.lease: typing.Final = order_leases.OrderLease(
             self.stream, LEASE_MS
         )
-        self.turns: typing.Final = order_turns.Turns(
+        self.turns: typing.Final = order_turns.TurnClient(
             self.stream, TURNS, TURN_MS
         )
         self.is_wanted = True
@@ -118,7 +118,7 @@
 
     async def take(self, units: int) -> None:
         """Take a turn, and note how that went."""
-        taken = await self.turns.take(
+        taken = await self.turns.acquire(
             units, lambda: self._limit, lambda: self.is_wanted
         )
         self.outcome = "taken" if taken else "not wanted"
@@ -126,7 +126,7 @@
     async def take_and_keep_up(self, units: int) -> None:
         """Take a turn and keep it up for ever."""
         await self.claim_and_take(units)
-        await self.turns.keep_up()
+        await self.turns.keep_renewed()
 
 
 def count_taken(takers: abc.Iterable[TurnTaker]) -> int:
--- a/packages/gentianpoint-agent/features/steps/order_turns_steps.py
+++ b/packages/gentianpoint-agent/features/steps/order_turns_steps.py
@@ -84,17 +84,17 @@
 
 
 @behave.when("those give theirs back")
-def give_back(context):
+def release(context):
     for taker in context.takers:
         if context.stage.call(taker.turns.is_held):
-            call(context, taker.turns.give_back)
+            call(context, taker.turns.release)
             taker.outcome = "given back"
     pass_time(context, 5)
 
 
 @behave.when("target {number:d} gives its turn back")
 def give_one_back(context, number):
-    call(context, context.takers[number - 1].turns.give_back)
+    call(context, context.takers[number - 1].turns.release)
 
 
 @behave.when("target {number:d} no longer wants it")
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
@@ -225,14 +225,16 @@
     reads = weight_reads.WeightReads(
         store,
         settings.weights_rate,
-        order_turns.Turns(stream, order_records.WEIGHTS, settings.turn_ms),
+        order_turns.TurnClient(
+            stream, order_records.WEIGHTS, settings.turn_ms
+        ),
     )
     return engine_orders.EngineOrders(
         state,
         engine,
         stream,
         order_leases.OrderLease(stream, settings.lease_ms),
-        order_turns.Turns(
+        order_turns.TurnClient(
             stream,
             order_records.name_service_turns(settings.service),
             settings.turn_ms,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -62,7 +62,7 @@
         engine: ports.Engine,
         stream: order_stream.OrderStream,
         lease: order_leases.OrderLease,
-        turns: order_turns.Turns,
+        turns: order_turns.TurnClient,
         reads: weight_reads.WeightReads,
     ) -> None:
         """Order ``engine`` under ``lease``.
@@ -83,7 +83,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._lease.claim)
             nursery.start_soon(self._stream.tail)
-            nursery.start_soon(self._turns.keep_up)
+            nursery.start_soon(self._turns.keep_renewed)
             nursery.start_soon(self._reads.keep_turn_up)
             await self._order_until_superseded()
             nursery.cancel_scope.cancel()
@@ -109,7 +109,7 @@
             finally:
                 self._hold_if_useless()
                 await self._reads.give_turn_back()
-                await self._turns.give_back()
+                await self._turns.release()
         self._state.release_hold()
 
     def _log_refusal(self, error: ports.PortError) -> None:
@@ -165,8 +165,9 @@
         if not await self._has_claim():
             return
         is_wanted = functools.partial(self._is_still_wanted, task)
-        if task.order != wanted_states.UNLOAD and not await self._turns.take(
-            1, self._count_turns, is_wanted
+        if (
+            task.order != wanted_states.UNLOAD
+            and not await self._turns.acquire(1, self._count_turns, is_wanted)
         ):
             return
         # The target serves while others read: away, it would wait for its
@@ -212,7 +213,7 @@
 
     async def _serve_on(self) -> None:
         self._hold_if_useless()
-        await self._turns.give_back()
+        await self._turns.release()
         await trio.sleep(_POSTPONE_S)
 
     async def _load_first(self, task: _Task, size: int) -> None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/order_turns.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/order_turns.py
@@ -25,7 +25,7 @@
 from gentianpoint_core import deadlines
 from gentianpoint_core import ports
 
-__all__ = ("Turns", "TurnBook")
+__all__ = ("TurnBook", "TurnClient")
 
 _POLL_MS: typing.Final = 1000
 _PAUSE_S: typing.Final = 0.1
@@ -156,7 +156,7 @@
     return not ahead or sum(turn.units for turn in ahead) + units <= limit
 
 
-class Turns:
+class TurnClient:
     """One agent's place and turn in one book."""
 
     def __init__(
@@ -193,7 +193,7 @@
             await self._pause()
         return False
 
-    async def take(
+    async def acquire(
         self,
         units: int,
         limit: abc.Callable[[], int],
@@ -210,13 +210,13 @@
             while await self._queue(units, limit, is_wanted):
                 if await self._start(limit):
                     return True
-                await self.give_back()
+                await self.release()
                 await self._pause()
         except ports.PortError:
             # A place that stays in the log ends by itself.
             self._forget()
             raise
-        await self.give_back()
+        await self.release()
         return False
 
     async def _queue(
@@ -262,7 +262,7 @@
         ahead = self._book.count_ahead(self._stream.target)
         await trio.sleep(min(_MAX_PAUSE_S, _PAUSE_S + _PAUSE_EACH_S * ahead))
 
-    async def keep_up(self) -> None:
+    async def keep_renewed(self) -> None:
         """Keep the turn as long as this runs and the log can be used."""
         while True:
             await trio.sleep(self._book.lasts_ms / 1000 / _KEEP_UPS)
@@ -280,7 +280,7 @@
         self._held_until = deadlines.Deadline(0.0)
         self._book.forget(self._stream.target)
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Let the next have the turn; without the log it ends by itself."""
         if not self._asked:
             return
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
@@ -29,7 +29,7 @@
         self,
         store: typing.Optional[ports.WeightStore],
         rate: int,
-        turns: order_turns.Turns,
+        turns: order_turns.TurnClient,
     ) -> None:
         """Read from ``store``, which gives ``rate`` bytes a second to all.
 
@@ -59,7 +59,7 @@
     async def wait_room(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
-        """Wait until the turns asked for so far leave room; see ``Turns``."""
+        """Wait until earlier turns leave room; see ``TurnClient``."""
         if not size:
             return True
         return await self._turns.wait_room(size, self.read_limit, is_wanted)
@@ -67,10 +67,10 @@
     async def take_turn(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
-        """Wait for a turn to read ``size`` bytes; see ``Turns``."""
+        """Wait for a turn to read ``size`` bytes; see ``TurnClient``."""
         if not size:
             return True
-        taken = await self._turns.take(size, self.read_limit, is_wanted)
+        taken = await self._turns.acquire(size, self.read_limit, is_wanted)
         if taken:
             logs.log_event(events.WEIGHTS_TURN_TAKEN, size=size)
         return taken
@@ -81,11 +81,11 @@
 
     async def keep_turn_up(self) -> None:
         """Keep a turn that is held, for ever."""
-        await self._turns.keep_up()
+        await self._turns.keep_renewed()
 
     async def give_turn_back(self) -> None:
         """Let the next read."""
-        await self._turns.give_back()
+        await self._turns.release()
 
     def choose_wait_s(self, size: int, targets: int) -> float:
         """Return how long to wait before a read without a turn.
