--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -15,7 +15,6 @@
 from gentianpoint_core import peer_sockets
 from gentianpoint_core.generated import messages
 from gentianpoint_entry.forwarding import agent_connections
-from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import entry_peers
 from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
@@ -12,7 +12,6 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import arrivals
-from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import entry_metrics
 from gentianpoint_entry.forwarding import move_destinations
 from gentianpoint_entry.forwarding import requests
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -194,7 +194,10 @@
         self._starts: typing.Final[dict[tuple[str, str], list[Target]]] = {}
 
     def note_leaving_notice(self, now: float) -> None:
-        """Remember when a target was last given notice; see ``target_selection``."""
+        """Remember when a target was last given notice.
+
+        See ``target_selection``.
+        """
         self.last_leaving_notice_at = now
 
     def put_entry(
