--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -125,7 +125,8 @@
             "entry", "heartbeat-ms"
         )
         self.idle_beat_s: typing.Final = (
-            self.beat_s * peer_connections.count_idle_beat_ticks(allowed_ticks)
+            self.beat_s
+            * peer_connections.count_idle_heartbeat_ticks(allowed_ticks)
         )
         self.entry: typing.Final = self._work_out_entry()
         self.agent: typing.Final = self._work_out_agent()
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -11,7 +11,7 @@
 from bench.soak import facts as seen
 from bench.soak import kinds
 from bench.soak import programs
-from gentianpoint_core import kept_connections
+from gentianpoint_core import connection_pools
 from gentianpoint_core import ports
 
 __all__ = (
@@ -82,7 +82,7 @@
                 nursery.start_soon(self._ask, number, place)
 
     async def _ask(self, number: int, place: EntryPlace) -> None:
-        connections = kept_connections.KeptConnections(
+        connections = connection_pools.ConnectionPool(
             place.ready, _LOOK_S * 1000
         )
         request = dialects.ask(b"GET", self._dialect.ready_path, {})
@@ -94,8 +94,8 @@
 
 
 async def _exchange(
-    connections: kept_connections.KeptConnections,
-    request: kept_connections.ExchangeRequest,
+    connections: connection_pools.ConnectionPool,
+    request: connection_pools.ExchangeRequest,
     within_s: float,
 ) -> dialects.Outcome:
     status = 0
@@ -130,7 +130,7 @@
         self._source: typing.Final = source
         self._stays: typing.Final = stays
         self._connections: typing.Final[
-            dict[int, kept_connections.KeptConnections]
+            dict[int, connection_pools.ConnectionPool]
         ] = {}
         self._last: typing.Optional[tuple[EntryPlace, int]] = None
 
@@ -154,7 +154,7 @@
         pid = place.program.pid
         self._last = (place, pid)
         connections = self._connections.setdefault(
-            pid, kept_connections.KeptConnections(place.front, _CONNECT_MS)
+            pid, connection_pools.ConnectionPool(place.front, _CONNECT_MS)
         )
         sent_at = trio.current_time()
         answer = await _exchange(connections, request, kind.deadline_ms / 1000)
@@ -210,7 +210,7 @@
     pause_s: float,
 ) -> None:
     """Ask an entry again and again for what the newest version says."""
-    connections = kept_connections.KeptConnections(place.front, _CONNECT_MS)
+    connections = connection_pools.ConnectionPool(place.front, _CONNECT_MS)
     while True:
         if facts.changes:
             await _probe(connections, place, dialect, facts)
@@ -218,7 +218,7 @@
 
 
 async def _probe(
-    connections: kept_connections.KeptConnections,
+    connections: connection_pools.ConnectionPool,
     place: EntryPlace,
     dialect: dialects.Dialect,
     facts: seen.Facts,
--- a/bench/soak/dialects.py
+++ b/bench/soak/dialects.py
@@ -5,7 +5,7 @@
 import typing
 
 from bench.soak import kinds
-from gentianpoint_core import kept_connections
+from gentianpoint_core import connection_pools
 
 __all__ = ("MAIN_KEY", "Dialect", "Outcome", "PlatformDialect", "ask")
 
@@ -40,7 +40,7 @@
     @abc.abstractmethod
     def make_call(
         self, kind: kinds.RequestKind, request_id: str, estimate: int
-    ) -> kept_connections.ExchangeRequest:
+    ) -> connection_pools.ExchangeRequest:
         """Return a request; ``estimate`` is its caller's, in events."""
 
     @abc.abstractmethod
@@ -50,7 +50,7 @@
     @abc.abstractmethod
     def make_probes(
         self, version: int, request_id: str
-    ) -> collections_abc.Sequence[kept_connections.ExchangeRequest]:
+    ) -> collections_abc.Sequence[connection_pools.ExchangeRequest]:
         """Return requests that show whether a version is in force."""
 
     @abc.abstractmethod
@@ -63,10 +63,10 @@
     path: str,
     headers: collections_abc.Mapping[str, str],
     body: bytes = b"",
-) -> kept_connections.ExchangeRequest:
+) -> connection_pools.ExchangeRequest:
     """Return a request of a caller."""
     fields = {"Host": kinds.HOST, **headers}
-    return kept_connections.ExchangeRequest(
+    return connection_pools.ExchangeRequest(
         method,
         path.encode(),
         [(name.encode(), value.encode()) for name, value in fields.items()],
@@ -81,7 +81,7 @@
 
     def make_call(
         self, kind: kinds.RequestKind, request_id: str, estimate: int
-    ) -> kept_connections.ExchangeRequest:
+    ) -> connection_pools.ExchangeRequest:
         """Return a request; ``estimate`` is its caller's, in events."""
         most = kinds.find_most_events(request_id)
         headers = {
@@ -97,7 +97,7 @@
 
     def make_probes(
         self, version: int, request_id: str
-    ) -> collections_abc.Sequence[kept_connections.ExchangeRequest]:
+    ) -> collections_abc.Sequence[connection_pools.ExchangeRequest]:
         """Ask for the route of a version, and by the key before it."""
         old = _make_headers(request_id, _PROBE_MS, f"key-{version - 1}")
         new = _make_headers(request_id, _PROBE_MS, MAIN_KEY)
--- a/bench/soak/own_dialect.py
+++ b/bench/soak/own_dialect.py
@@ -6,7 +6,7 @@
 
 from bench.soak import dialects
 from bench.soak import kinds
-from gentianpoint_core import kept_connections
+from gentianpoint_core import connection_pools
 
 __all__ = ("OwnDialect", "make_prompt")
 
@@ -38,7 +38,7 @@
 
     def make_call(
         self, kind: kinds.RequestKind, request_id: str, estimate: int
-    ) -> kept_connections.ExchangeRequest:
+    ) -> connection_pools.ExchangeRequest:
         """Return a request; nobody here asks for estimates."""
         headers = {
             "Authorization": f"Bearer {dialects.MAIN_KEY}",
@@ -104,7 +104,7 @@
 
     def make_probes(
         self, version: int, request_id: str
-    ) -> abc.Sequence[kept_connections.ExchangeRequest]:
+    ) -> abc.Sequence[connection_pools.ExchangeRequest]:
         """Ask by the key of a version."""
         key = {"Authorization": f"Bearer key-{version}"}
         return (dialects.ask(b"GET", "/v1/models", key),)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
@@ -81,7 +81,7 @@
     try:
         await entry_connections.EntryConnection(connection, state).serve()
     except* peer_connections.PeerConnectionError as group:
-        peer_connections.log_loss(group.exceptions[0])
+        peer_connections.log_connection_error(group.exceptions[0])
 
 
 async def _listen(
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -84,7 +84,7 @@
     ) -> None:
         """Run the call to its end; the generation tells the outcome."""
         tracer = telemetry.get_tracer()
-        context = telemetry.use_trace_parent(order.offer["trace"])
+        context = telemetry.extract_trace_context(order.offer["trace"])
         with tracer.start_as_current_span("agent call", context=context):
             end = await self._work_or_cancel(
                 generation,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
@@ -124,7 +124,7 @@
                     return
             except peer_connections.PeerConnectionError as error:
                 # Seeds may be old; another entry passes the message on.
-                peer_connections.log_loss(error)
+                peer_connections.log_connection_error(error)
             await trio.sleep(_TELL_AGAIN_S)
 
 
--- a/packages/gentianpoint-core/features/steps/kept_connections_steps.py
+++ b/packages/gentianpoint-core/features/steps/connection_pools_steps.py
@@ -4,7 +4,7 @@
 import scripted_target
 import trio
 
-from gentianpoint_core import kept_connections
+from gentianpoint_core import connection_pools
 from gentianpoint_core import ports
 
 
@@ -25,7 +25,7 @@
 
 
 async def send(pool, number):
-    request = kept_connections.ExchangeRequest(
+    request = connection_pools.ExchangeRequest(
         b"GET", b"/", ((b"Host", b"a"),), b""
     )
     wanted = str(number).encode()
@@ -44,7 +44,7 @@
     async def run():
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         port = listener.socket.getsockname()[1]
-        pool = kept_connections.KeptConnections(f"127.0.0.1:{port}", 2000)
+        pool = connection_pools.ConnectionPool(f"127.0.0.1:{port}", 2000)
         async with trio.open_nursery() as nursery:
             if context.target is None:
                 listener.socket.close()
--- a/packages/gentianpoint-core/src/gentianpoint_core/configuration.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/configuration.py
@@ -174,7 +174,7 @@
         """Return the outcomes still kept, oldest first."""
         return tuple(self._outcomes.values())
 
-    def find_oldest_watchable(self) -> int:
+    def find_oldest_watch_offset(self) -> int:
         """Return the lowest offset after which all outcomes are kept."""
         return max(0, self.offset - _KEPT_OUTCOMES)
 
--- a/packages/gentianpoint-core/src/gentianpoint_core/kept_connections.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/connection_pools.py
@@ -21,7 +21,7 @@
 from gentianpoint_core import option_types
 from gentianpoint_core import ports
 
-__all__ = ("Exchange", "ExchangeRequest", "KeptConnections")
+__all__ = ("Exchange", "ExchangeRequest", "ConnectionPool")
 
 _READ_BYTES: typing.Final = 65536
 _MOST_FOREIGN_ANSWERS: typing.Final = 3
@@ -175,22 +175,26 @@
         return ports.PortError(step, self._peer, reason, took_effect=True)
 
 
-class KeptConnections:
+class ConnectionPool:
     """Connections to one address, of which idle ones are used again."""
 
     def __init__(
-        self, address: str, connect_ms: float, *, is_patient: bool = False
+        self,
+        address: str,
+        connect_ms: float,
+        *,
+        tolerates_pauses: bool = False,
     ) -> None:
         """Connect to ``address`` (IP:PORT), within ``connect_ms`` each.
 
-        A connection on which nobody answers for some seconds is lost, unless
-        it ``is_patient``: the other end may only stand still, and goes on
-        with what it does.
+        The kernel drops a connection whose other end acknowledges nothing
+        for some seconds. With ``tolerates_pauses`` it waits longer, for peers
+        whose host may be paused and then continue the request.
         """
         self.address: typing.Final = address
         self._place: typing.Final = option_types.split_address(address)
         self._connect_ms: typing.Final = connect_ms
-        self._is_patient: typing.Final = is_patient
+        self._tolerates_pauses: typing.Final = tolerates_pauses
         self._idle: typing.Final[list[_Connection]] = []
         self.open_count = 0
 
@@ -264,11 +268,13 @@
 
     def _bound_silence(self, link: trio.socket.SocketType) -> None:
         """Let the kernel find connections that have gone silent for good."""
-        unacked_ms = _PATIENT_UNACKED_MS if self._is_patient else _UNACKED_MS
+        unacked_ms = (
+            _PATIENT_UNACKED_MS if self._tolerates_pauses else _UNACKED_MS
+        )
         link.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms
         )
-        if not self._is_patient:
+        if not self._tolerates_pauses:
             _probe_when_idle(link)
 
 
--- a/packages/gentianpoint-core/src/gentianpoint_core/peer_connections.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/peer_connections.py
@@ -29,8 +29,8 @@
     "PEER_KEY_HEADER",
     "PeerConnection",
     "PeerConnectionError",
-    "count_idle_beat_ticks",
-    "log_loss",
+    "count_idle_heartbeat_ticks",
+    "log_connection_error",
 )
 
 PEER_KEY_HEADER: typing.Final = "Gentianpoint-Peer-Key"
@@ -40,7 +40,7 @@
 _LONGEST_BEAT_TICKS: typing.Final = 10
 
 
-def count_idle_beat_ticks(allowed_ticks: int) -> int:
+def count_idle_heartbeat_ticks(allowed_ticks: int) -> int:
     """Return the ticks between heartbeats of a connection without calls.
 
     Two thirds of what the other end allows: nothing on the way loses a
@@ -48,9 +48,9 @@
     enough, and the last third is for a process that is slow. An agent whose
     reports come within that time needs no heartbeats at all.
 
-    >>> count_idle_beat_ticks(allowed_ticks=3)
+    >>> count_idle_heartbeat_ticks(allowed_ticks=3)
     10
-    >>> count_idle_beat_ticks(allowed_ticks=2)
+    >>> count_idle_heartbeat_ticks(allowed_ticks=2)
     6
     """
     allowed = allowed_ticks * IDLE_TICKS
@@ -68,7 +68,7 @@
         super().__init__(f"{step} with {peer}: {reason}")
 
 
-def log_loss(error: BaseException) -> None:
+def log_connection_error(error: BaseException) -> None:
     """Log why a connection ended; raises what is no such error."""
     if not isinstance(error, PeerConnectionError):
         raise error
@@ -101,7 +101,7 @@
         self._heartbeat_s: typing.Final = heartbeat_ms / 1000
         self._silence_s: typing.Final = silence_ms / 1000
         self._allowed_ticks: typing.Final = max(2, silence_ms // heartbeat_ms)
-        self._idle_beat_ticks: typing.Final = count_idle_beat_ticks(
+        self._idle_beat_ticks: typing.Final = count_idle_heartbeat_ticks(
             self._allowed_ticks
         )
         self._quiet_ticks = 0
--- a/packages/gentianpoint-core/src/gentianpoint_core/peer_sockets.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/peer_sockets.py
@@ -18,16 +18,16 @@
 from gentianpoint_core import peer_connections
 
 __all__ = (
-    "OFTEN",
-    "SELDOM",
-    "HeartbeatPace",
+    "FREQUENT_HEARTBEATS",
+    "INFREQUENT_HEARTBEATS",
+    "HeartbeatTiming",
     "ServePeer",
     "open_connection",
     "serve_connections",
 )
 
 
-class HeartbeatPace(typing.NamedTuple):
+class HeartbeatTiming(typing.NamedTuple):
     """How a silent connection is noticed; both ends need the same."""
 
     heartbeat_ms: int
@@ -36,10 +36,10 @@
     """Silence after which the connection is lost."""
 
 
-OFTEN: typing.Final = HeartbeatPace(400, 1200)
+FREQUENT_HEARTBEATS: typing.Final = HeartbeatTiming(400, 1200)
 """For a connection that is the only way for what it carries, which is of no
 use when it is older than that."""
-SELDOM: typing.Final = HeartbeatPace(1000, 3000)
+INFREQUENT_HEARTBEATS: typing.Final = HeartbeatTiming(1000, 3000)
 """For one of several connections that bring the same."""
 _OPEN_S: typing.Final = 0.8
 _CLOSE_S: typing.Final = 0.2
@@ -54,7 +54,7 @@
 
 @contextlib.asynccontextmanager
 async def open_connection(
-    address: str, pace: HeartbeatPace = OFTEN
+    address: str, pace: HeartbeatTiming = FREQUENT_HEARTBEATS
 ) -> abc.AsyncIterator[peer_connections.PeerConnection]:
     """Connect to a peer at IP:PORT.
 
@@ -91,7 +91,9 @@
 
 
 async def serve_connections(
-    address: str, serve_peer: ServePeer, pace: HeartbeatPace = OFTEN
+    address: str,
+    serve_peer: ServePeer,
+    pace: HeartbeatTiming = FREQUENT_HEARTBEATS,
 ) -> None:
     """Serve all who connect to IP:PORT, until cancelled."""
     host, port = option_types.split_address(address)
@@ -108,7 +110,7 @@
 
 async def _serve_connection(
     serve_peer: ServePeer,
-    pace: HeartbeatPace,
+    pace: HeartbeatTiming,
     websocket: websockets.trio.server.ServerConnection,
 ) -> None:
     peer = str(websocket.remote_address[0])
@@ -118,4 +120,4 @@
     try:
         await serve_peer(connection)
     except* peer_connections.PeerConnectionError as group:
-        peer_connections.log_loss(group.exceptions[0])
+        peer_connections.log_connection_error(group.exceptions[0])
--- a/packages/gentianpoint-core/src/gentianpoint_core/telemetry.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/telemetry.py
@@ -17,8 +17,8 @@
     "GenerationInstruments",
     "configure_telemetry",
     "get_tracer",
-    "read_trace_parent",
-    "use_trace_parent",
+    "get_trace_parent",
+    "extract_trace_context",
 )
 
 _SCOPE: typing.Final = "gentianpoint"
@@ -48,14 +48,14 @@
     return trace.get_tracer(_SCOPE)
 
 
-def read_trace_parent() -> str:
+def get_trace_parent() -> str:
     """Return the current span's context for a message; empty for none."""
     carrier: dict[str, str] = {}
     propagate.inject(carrier)
     return carrier.get(_TRACE_PARENT, "")
 
 
-def use_trace_parent(parent: str) -> typing.Any:
+def extract_trace_context(parent: str) -> typing.Any:
     """Return the context of a ``trace`` field, for a span's ``context``."""
     return propagate.extract({_TRACE_PARENT: parent} if parent else {})
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -295,7 +295,7 @@
 
     def _read_trace_parent(self) -> str:
         with trace.use_span(self._span):
-            return telemetry.read_trace_parent()
+            return telemetry.get_trace_parent()
 
     async def _handle(
         self, message: codec.MessageMap
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -53,7 +53,7 @@
 
     def is_compacted(self) -> bool:
         """Tell whether changes after the watcher's place are forgotten."""
-        return self._cursor < self._state.tail.state.find_oldest_watchable()
+        return self._cursor < self._state.tail.state.find_oldest_watch_offset()
 
     async def write_lines(self) -> abc.AsyncGenerator[bytes, None]:
         """Yield lines until the watcher goes or has fallen behind."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
@@ -214,7 +214,7 @@
             )
 
     def _note_loss(self, target: targets.Target, error: BaseException) -> None:
-        peer_connections.log_loss(error)
+        peer_connections.log_connection_error(error)
         if target.report is None or target.report.is_leaving:
             return
         if not self._gossip.relays_reports():
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
@@ -126,7 +126,7 @@
                 peer_sockets.serve_connections,
                 self._address,
                 self._accept,
-                peer_sockets.SELDOM,
+                peer_sockets.INFREQUENT_HEARTBEATS,
             )
             while True:
                 self._news.tick()
@@ -170,7 +170,7 @@
         try:
             with dial.scope:
                 async with peer_sockets.open_connection(
-                    address, peer_sockets.SELDOM
+                    address, peer_sockets.INFREQUENT_HEARTBEATS
                 ) as connection:
                     self._failures.pop(address, None)
                     link = peer_links.PeerLink(connection, is_dialled=True)
@@ -185,7 +185,7 @@
         if address in self._failures:
             count = self._failures[address].attempts
         else:
-            peer_connections.log_loss(error)
+            peer_connections.log_connection_error(error)
         pause_s = min(_LONGEST_RETRY_S, _FIRST_RETRY_S * 2**count)
         until = trio.current_time() + pause_s
         self._failures[address] = _Failures(count + 1, until)
@@ -285,7 +285,7 @@
                 await link.connection.send({**message, "passed_on": True})
             except peer_connections.PeerConnectionError as error:
                 # The list tells that entry, which has lost this one anyway.
-                peer_connections.log_loss(error)
+                peer_connections.log_connection_error(error)
 
 
 def make_rank_lookup(
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -116,11 +116,11 @@
         choices = ", ".join(repr(choice) for choice in setting["choices"])
         return f"click.Choice([{choices}])"
     if setting["type"] == "address":
-        return "option_kinds.ADDRESS"
+        return "click_types.ADDRESS"
     if setting["name"].endswith("-url"):
-        return "option_kinds.URL"
+        return "click_types.URL"
     if setting["name"].endswith("-key-hash"):
-        return "option_kinds.DIGEST"
+        return "click_types.DIGEST"
     kind = PYTHON_TYPES[setting["type"]]
     bounds = [
         f"{bound}={setting[bound]}"
@@ -175,7 +175,7 @@
         "",
         "import click",
         "",
-        "from gentianpoint_core import option_kinds",
+        "from gentianpoint_core import click_types",
         "",
         "",
         f"class {name}(typing.NamedTuple):",
