--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -132,10 +132,10 @@
 
     def count_links(self, processes: int) -> int:
         """Return a process's links for a service, of so many on its host."""
-        return link_pool.count_links(
+        return link_pool.compute_link_count(
             AGENTS // SERVICES,
             ENTRIES * processes,
-            link_pool.share_links(
+            link_pool.compute_min_links(
                 _read_default("entry", "links-per-service"), processes
             ),
         )
--- a/bench/decision_times.py
+++ b/bench/decision_times.py
@@ -278,7 +278,7 @@
     data_centre = "north" if number % 2 else "south"
     host = ports.Host(name, "agent", "s", name, "", data_centre, "live")
     link = agent_links.AgentLink(host, settings, _do_nothing)
-    link.take_report(_make_report(number))
+    link.store_report(_make_report(number))
     return link
 
 
--- a/packages/gentianpoint-entry/features/link_builders.py
+++ b/packages/gentianpoint-entry/features/link_builders.py
@@ -41,17 +41,17 @@
     """Let an agent report a figure by the word of a table."""
     match word:
         case "memory":
-            link.take_report(make_report(memory_predicted=value))
+            link.store_report(make_report(memory_predicted=value))
         case "wait":
-            link.take_report(make_report(queue_wait_ms=value))
+            link.store_report(make_report(queue_wait_ms=value))
         case "calls":
-            link.take_report(
+            link.store_report(
                 make_report(memory_predicted=0.0, running=int(value))
             )
         case "pace":
-            link.take_report(make_report(pace_ms=value))
+            link.store_report(make_report(pace_ms=value))
         case "refusal":
-            link.take_report(make_report(memory_predicted=0.1))
+            link.store_report(make_report(memory_predicted=0.1))
             link.refused_until = deadlines.make_deadline(1000)
         case _:
             assert word == "nothing", word
--- a/packages/gentianpoint-entry/features/shutdown_builders.py
+++ b/packages/gentianpoint-entry/features/shutdown_builders.py
@@ -58,7 +58,7 @@
     link._connection = typing.cast(typing.Any, _MuteConnection())
     pool = types.SimpleNamespace(
         list_links=lambda service: [link],
-        find_target=lambda target, incarnation="": link,
+        find_target_link=lambda target, incarnation="": link,
     )
     return dispatch.Dispatcher(
         typing.cast(link_pool.LinkPool, pool), _FirstLink(), 64
--- a/packages/gentianpoint-entry/features/steps/claim_streams_steps.py
+++ b/packages/gentianpoint-entry/features/steps/claim_streams_steps.py
@@ -28,7 +28,7 @@
     """Run ``call(streams)`` on a clock that jumps, and note what came."""
 
     async def main():
-        rate = claim_rates.ClaimRate(make_hosts(1))
+        rate = claim_rates.ClaimRateLimiter(make_hosts(1))
         return await call(claim_streams.ClaimStreams(context.script, rate))
 
     context.error = None
@@ -104,7 +104,7 @@
 @behave.when("an entry of {entries:d} claims {count:d} free keys at once")
 def claim_many(context, entries, count):
     async def main():
-        rate = claim_rates.ClaimRate(make_hosts(entries))
+        rate = claim_rates.ClaimRateLimiter(make_hosts(entries))
         context.taken = sum(rate.take() for _ in range(count))
         await trio.sleep(1)
         context.taken_later = sum(rate.take() for _ in range(count))
--- a/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
+++ b/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
@@ -61,10 +61,10 @@
         if len(self.offsets) == 1:
             self._tail.change_service()
 
-    def note_told(self, offset):
+    def record_sent_offset(self, offset):
         """Take no note."""
 
-    def note_covered(self, offset):
+    def record_unchanged_offset(self, offset):
         """Take no note."""
 
 
--- a/packages/gentianpoint-entry/features/steps/link_pool_steps.py
+++ b/packages/gentianpoint-entry/features/steps/link_pool_steps.py
@@ -120,7 +120,7 @@
 @behave.when("each entry chooses among {agents:d} agents of a service")
 def share_agents(context, agents):
     context.agents = [make_host("agent", number) for number in range(agents)]
-    choose_agents(context, link_pool.share_links(4, context.processes))
+    choose_agents(context, link_pool.compute_min_links(4, context.processes))
 
 
 @behave.then("the host has {count:d} connections")
@@ -205,7 +205,7 @@
 
 def take_report(context, **more):
     async def take():
-        context.link.take_report(make_report(**more))
+        context.link.store_report(make_report(**more))
 
     trio.run(take)
 
--- a/packages/gentianpoint-entry/features/steps/open_calls_steps.py
+++ b/packages/gentianpoint-entry/features/steps/open_calls_steps.py
@@ -50,7 +50,7 @@
     async def serve():
         return await answer(open_calls.keep_call(call))
 
-    app.asgi_app = open_calls.CallCloser(app.asgi_app)
+    app.asgi_app = open_calls.ClosingMiddleware(app.asgi_app)
     return app
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
@@ -312,7 +312,7 @@
                 for run in message["runs"]:
                     self._push(run["call"], {"type": "items", "runs": (run,)})
             case "report":
-                self.take_report(typing.cast(messages.Report, message))
+                self.store_report(typing.cast(messages.Report, message))
             case "leaving":
                 self.mark_leaving(message["reason"])
             case "configured":
@@ -328,16 +328,16 @@
                     f"an agent does not send {other}",
                 )
 
-    def note_told(self, offset: int) -> None:
+    def record_sent_offset(self, offset: int) -> None:
         """Note that the agent was sent its resource at ``offset``."""
         self._told_offset = offset
         self._covered_offset = offset
 
-    def note_covered(self, offset: int) -> None:
+    def record_unchanged_offset(self, offset: int) -> None:
         """Note that up to ``offset`` nothing changed for the agent."""
         self._covered_offset = offset
 
-    def find_offset_in_force(self) -> int:
+    def get_applied_offset(self) -> int:
         """Return the offset through which the agent has all it needs.
 
         Once it has confirmed what it was told last, that is as far as
@@ -364,7 +364,7 @@
         if call is not None:
             call.push(message)
 
-    def take_report(self, report: messages.Report) -> None:
+    def store_report(self, report: messages.Report) -> None:
         """Keep the agent's newest report and when it came.
 
         One without prefixes leaves those known before.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/claim_rates.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/claim_rates.py
@@ -5,14 +5,14 @@
 from gentianpoint_core import deadlines
 from gentianpoint_entry import live_hosts
 
-__all__ = ("ClaimRate",)
+__all__ = ("ClaimRateLimiter",)
 
 _APPENDS_PER_S: typing.Final = 200
 _MOST_SAVED: typing.Final = 20
 _MS_IN_S: typing.Final = 1000
 
 
-class ClaimRate:
+class ClaimRateLimiter:
     """Bounds claims, so that keyed calls can't use up the log's rate.
 
     Without it a customer who sends a key with every call would have the log
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
@@ -67,7 +67,9 @@
 class ClaimStreams:
     """Finds and makes claims, each step bounded in time."""
 
-    def __init__(self, log: ports.Log, rate: claim_rates.ClaimRate) -> None:
+    def __init__(
+        self, log: ports.Log, rate: claim_rates.ClaimRateLimiter
+    ) -> None:
         """Claim in ``log``, as often as ``rate`` allows."""
         self._log: typing.Final = log
         self._rate: typing.Final = rate
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
@@ -53,9 +53,9 @@
             if news != told:
                 await link.send(message)
                 told = news
-                link.note_told(offset)
+                link.record_sent_offset(offset)
             else:
-                link.note_covered(offset)
+                link.record_unchanged_offset(offset)
             # A change that is folded while the resource is being sent must
             # not be waited for, since it has passed: the agent would serve
             # by the old resource until some later change.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
@@ -147,7 +147,9 @@
         within_ms = _HOME_FIRST_MS if has_choice else _HOME_WITHIN_MS
         with trio.move_on_after(within_ms / 1000):
             while True:
-                link = self.pool.find_target(home.target, home.incarnation)
+                link = self.pool.find_target_link(
+                    home.target, home.incarnation
+                )
                 if link is None:
                     raise HomeLostError(f"no agent of target {home.target}")
                 if link.is_connected() and link.welcome is not None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
@@ -69,7 +69,7 @@
     state: entry_state.EntryState, board: status_board.StatusBoard
 ) -> quart_trio.QuartTrio:
     app = quart_trio.QuartTrio(__name__)
-    app.asgi_app = open_calls.CallCloser(  # type: ignore[method-assign]
+    app.asgi_app = open_calls.ClosingMiddleware(  # type: ignore[method-assign]
         app.asgi_app
     )
     app.config["MAX_CONTENT_LENGTH"] = state.settings.max_body_bytes
@@ -116,13 +116,13 @@
 
     @app.errorhandler(errors.CallError)
     async def answer_error(error: errors.CallError) -> quart.Response:
-        return error_answers.make_error_answer(error)
+        return error_answers.make_error_response(error)
 
     @app.errorhandler(exceptions.HTTPException)
     async def answer_http_error(
         error: exceptions.HTTPException,
     ) -> quart.Response:
-        return error_answers.make_http_error_answer(error)
+        return error_answers.make_http_error_response(error)
 
     @app.get(_HEALTH_PATH)
     async def tell_health() -> quart.Response:
@@ -220,7 +220,7 @@
         pool = link_pool.LinkPool(
             nursery,
             _make_link_settings(settings, incarnation),
-            link_pool.share_links(
+            link_pool.compute_min_links(
                 settings.links_per_service, settings.processes_on_host
             ),
             sender.send_for_ever,
@@ -233,7 +233,9 @@
             settings.window_items,
         )
         keys = key_claims.KeyClaims(
-            claim_streams.ClaimStreams(log, claim_rates.ClaimRate(live)),
+            claim_streams.ClaimStreams(
+                log, claim_rates.ClaimRateLimiter(live)
+            ),
             dispatcher,
             tail,
         )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/error_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/error_answers.py
@@ -9,7 +9,7 @@
 
 from gentianpoint_core import errors
 
-__all__ = ("describe_error", "make_error_answer", "make_http_error_answer")
+__all__ = ("describe_error", "make_error_response", "make_http_error_response")
 
 _MS_IN_S: typing.Final = 1000
 _TYPES: typing.Final = {
@@ -37,7 +37,7 @@
     return msgspec.json.encode({"error": inner})
 
 
-def make_error_answer(
+def make_error_response(
     error: errors.CallError, generation: str = ""
 ) -> quart.Response:
     """Return the HTTP answer, with Retry-After in whole seconds."""
@@ -54,7 +54,7 @@
     return answer
 
 
-def make_http_error_answer(
+def make_http_error_response(
     error: exceptions.HTTPException,
 ) -> quart.Response:
     """Return an error of the HTTP server in the form of all others.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_answers.py
@@ -44,7 +44,7 @@
                 # generation, which takes the place of one that broke off.
                 texts[part.first - 1 :] = part.texts
         except errors.CallError as error:
-            return error_answers.make_error_answer(
+            return error_answers.make_error_response(
                 error, self._call.generation
             )
         finally:
@@ -61,7 +61,7 @@
             first = await self._call.receive()
         except errors.CallError as error:
             await self._call.close()
-            return error_answers.make_error_answer(
+            return error_answers.make_error_response(
                 error, self._call.generation
             )
         except BaseException:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
@@ -130,7 +130,7 @@
                 "this is no identifier of a generation",
                 step="find generation",
             )
-        link = state.dispatcher.pool.find_target(parsed.ok.target)
+        link = state.dispatcher.pool.find_target_link(parsed.ok.target)
         service = link.host.service if link is not None else ""
         return call_requests.CallRequest(
             state.make_request_identifier(),
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
@@ -12,7 +12,12 @@
 from gentianpoint_entry import agent_links
 from gentianpoint_entry import link_settings
 
-__all__ = ("LinkPool", "choose_hosts", "count_links", "share_links")
+__all__ = (
+    "LinkPool",
+    "choose_hosts",
+    "compute_link_count",
+    "compute_min_links",
+)
 
 _ENTRIES_FOR_AN_AGENT: typing.Final = 6
 _LEAST_SHARE: typing.Final = 2
@@ -20,22 +25,22 @@
 _PASSED_OVER_MS: typing.Final = 30_000
 
 
-def share_links(links_per_service: int, processes_on_host: int) -> int:
+def compute_min_links(links_per_service: int, processes_on_host: int) -> int:
     """Return the fewest links per service of one of a host's entries.
 
     The processes of a host share its budget for control, so they share its
     links; two are the fewest among which a placement can choose.
 
-    >>> share_links(links_per_service=4, processes_on_host=2)
+    >>> compute_min_links(links_per_service=4, processes_on_host=2)
     2
-    >>> share_links(links_per_service=4, processes_on_host=8)
+    >>> compute_min_links(links_per_service=4, processes_on_host=8)
     2
     """
     shared = math.ceil(links_per_service / processes_on_host)
     return max(min(_LEAST_SHARE, links_per_service), shared)
 
 
-def count_links(agents: int, entries: int, fewest: int) -> int:
+def compute_link_count(agents: int, entries: int, fewest: int) -> int:
     """Return the number of a service's agents an entry connects to.
 
     At least ``fewest``, and so many that an agent has connections from
@@ -43,9 +48,9 @@
     leave agents idle, and with many entries a large one costs each of them
     heartbeats and reports that it has no use for.
 
-    >>> count_links(agents=245, entries=380, fewest=4)
+    >>> compute_link_count(agents=245, entries=380, fewest=4)
     4
-    >>> count_links(agents=12, entries=2, fewest=4)
+    >>> compute_link_count(agents=12, entries=2, fewest=4)
     36
     """
     return max(
@@ -62,11 +67,12 @@
 ) -> abc.Sequence[ports.Host]:
     """Return the agents to which an entry keeps connections.
 
-    Of each service ``links_per_service`` or more, see :func:`count_links`,
-    its own data centre first;
-    among equals the highest hash of entry and host (rendezvous hashing), so
-    that entries spread over agents and one host's coming or going moves few.
-    Hosts that are ``passed_over`` come last.
+    Of each service these are at least ``links_per_service`` agents, see
+    :func:`compute_link_count`. Agents in the entry's own data centre come
+    first; among equals the order is by the highest hash of entry and host
+    (rendezvous hashing), which spreads the entries over the agents and moves
+    few links when a host is added or removed. ``passed_over`` hosts come
+    last.
 
     >>> host = ports.Host("h1", "agent", "s", "t", "a:1", "north", "live")
     >>> [item.host for item in choose_hosts([host], "e1", "north", 2)]
@@ -86,7 +92,7 @@
         entries += host.role == "entry"
     chosen: list[ports.Host] = []
     for candidates in by_service.values():
-        count = count_links(len(candidates), entries, links_per_service)
+        count = compute_link_count(len(candidates), entries, links_per_service)
         chosen += sorted(candidates, key=rank)[:count]
     return chosen
 
@@ -157,7 +163,7 @@
         """Return all links."""
         return tuple(self._links.values())
 
-    def find_target(
+    def find_target_link(
         self, target: str, incarnation: str = ""
     ) -> typing.Optional[agent_links.AgentLink]:
         """Return the link to a target's agent, opening one if need be.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/open_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/open_calls.py
@@ -15,7 +15,7 @@
 
 from gentianpoint_entry import calls
 
-__all__ = ("CallCloser", "keep_call")
+__all__ = ("ClosingMiddleware", "keep_call")
 
 _SCOPE_KEY: typing.Final = "gentianpoint.calls"
 
@@ -40,7 +40,7 @@
     return kept.setdefault(_SCOPE_KEY, [])
 
 
-class CallCloser:
+class ClosingMiddleware:
     """An ASGI application around another that closes what requests keep."""
 
     def __init__(self, app: _App) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
@@ -109,7 +109,7 @@
     except BaseException as error:
         await call.close()
         if isinstance(error, errors.CallError):
-            return error_answers.make_error_answer(error, call.generation)
+            return error_answers.make_error_response(error, call.generation)
         raise
     status, headers = cbor2.loads(part.chunks[0])
     answer = quart.Response(_pass_chunks(call, part.chunks[1:]), status=status)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_writer.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_writer.py
@@ -28,7 +28,7 @@
     return [
         link.host.host
         for link in links
-        if link.is_connected() and link.find_offset_in_force() >= offset
+        if link.is_connected() and link.get_applied_offset() >= offset
     ]
 
 
