--- a/bench/capacity/mechanisms.py
+++ b/bench/capacity/mechanisms.py
@@ -156,4 +156,4 @@
 
 def _plain_pause_s(model: sizes.Model) -> float:
     size = model.slope("hosts.bytes") * (sizes.ENTRIES + sizes.AGENTS)
-    return host_watch.compute_pause_ms(1000, round(size)) / 1000
+    return host_watch.compute_poll_interval_ms(1000, round(size)) / 1000
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -178,7 +178,7 @@
 
     def hosts_pause_s(self, processes: int = 1) -> float:
         """Return the time between a process's readings of the host list."""
-        pause_ms = host_watch.compute_pause_ms(
+        pause_ms = host_watch.compute_poll_interval_ms(
             1000, round(self.hosts_bytes()), processes
         )
         return pause_ms / 1000
--- a/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
+++ b/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
@@ -101,7 +101,7 @@
         context.tail, context.hosts
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(sender.send_for_ever, context.link)
+        nursery.start_soon(sender.send_updates, context.link)
         await trio.testing.wait_all_tasks_blocked()
         change()
         await trio.testing.wait_all_tasks_blocked()
@@ -142,7 +142,7 @@
             context.tail, context.hosts
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(sender.send_for_ever, context.link)
+            nursery.start_soon(sender.send_updates, context.link)
             await trio.testing.wait_all_tasks_blocked()
             context.hosts.update_hosts(hosts)
             while len(context.connection.told) < 2:
--- a/packages/gentianpoint-entry/features/steps/link_pool_steps.py
+++ b/packages/gentianpoint-entry/features/steps/link_pool_steps.py
@@ -68,7 +68,9 @@
     "one of {processes:d} entries of a host reads {size:d} bytes of host list"
 )
 def read_list(context, processes, size):
-    context.pause_ms = host_watch.compute_pause_ms(1000, size, processes)
+    context.pause_ms = host_watch.compute_poll_interval_ms(
+        1000, size, processes
+    )
 
 
 class FakeConnection:
--- a/packages/gentianpoint-entry/features/tail_builders.py
+++ b/packages/gentianpoint-entry/features/tail_builders.py
@@ -117,7 +117,7 @@
         )
 
 
-def _make_peers(silent: int, knowing: int) -> peer_state.PeerStates:
+def _make_peers(silent: int, knowing: int) -> peer_state.PeerStateClient:
     names = [f"silent-{number}" for number in range(silent)]
     names += [_KNOWING] * knowing
     others = [
@@ -125,7 +125,7 @@
         for name in names
     ]
     hosts = types.SimpleNamespace(list_other_entries=lambda: others)
-    return peer_state.PeerStates(
+    return peer_state.PeerStateClient(
         typing.cast("live_hosts.LiveHosts", hosts),
         httpx.AsyncClient(transport=_PeerTransport()),
         "key",
@@ -157,7 +157,7 @@
 
     The change is written as the log returns, and no other entry helps.
     """
-    peers = typing.cast("peer_state.PeerStates", _NoPeers())
+    peers = typing.cast("peer_state.PeerStateClient", _NoPeers())
     return _measure_ms(silent_from, silent_until, silent_until, peers)
 
 
@@ -165,7 +165,7 @@
     silent_from: float,
     silent_until: float,
     written_at: float,
-    peers: peer_state.PeerStates,
+    peers: peer_state.PeerStateClient,
 ) -> float:
     took: list[float] = []
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
@@ -34,7 +34,7 @@
 def _find_kind(plural: str) -> typing.Any:
     kind = _KINDS.get(plural)
     if kind is None:
-        raise change_writer.refuse_call(
+        raise change_writer.make_refusal(
             f"there are no resources {plural}", 404
         )
     return kind
@@ -44,7 +44,7 @@
     try:
         return msgspec.json.decode(data or b"{}", type=change_writer.WriteBody)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise change_writer.refuse_call(str(error)) from error
+        raise change_writer.make_refusal(str(error)) from error
 
 
 def _answer_change(row: change_answers.ChangeRow) -> quart.Response:
@@ -93,7 +93,7 @@
     async def get_resource(plural: str, name: str) -> quart.Response:
         item = state.tail.state.find_resource(_find_kind(plural), name)
         if item is None:
-            raise change_writer.refuse_call(
+            raise change_writer.make_refusal(
                 f"there is no {plural}/{name}", 404
             )
         return change_answers.make_json_answer(
@@ -119,7 +119,7 @@
     async def get_change(change: str) -> quart.Response:
         found = writer.find_change(change)
         if found is None:
-            raise change_writer.refuse_call(
+            raise change_writer.make_refusal(
                 f"the change {change} is not known here: it never reached "
                 "the log, waits at another entry, or is too old",
                 404,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_state.py
@@ -5,7 +5,7 @@
 from gentianpoint_core import ports
 from gentianpoint_entry import configuration_tail
 from gentianpoint_entry import pending_changes
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 
 __all__ = ("AdministrationState",)
 
@@ -19,7 +19,7 @@
     """The configuration here."""
     log: ports.Log
     """Log that takes the writes."""
-    board: status_board.StatusBoard
+    board: status_tracker.StatusTracker
     """Where changes are in force."""
     pending: pending_changes.PendingChanges
     """Writes whose outcome isn't known here yet."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -150,7 +150,7 @@
             await self._acknowledge()
             message = await self._link_call.receive()
             if message is None:
-                if self._dispatcher.shutdown.is_over:
+                if self._dispatcher.shutdown.is_expired:
                     raise self._make_overdue()
                 self._recover_from_loss()
                 continue
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
@@ -7,7 +7,7 @@
 
 from gentianpoint_core import configuration
 from gentianpoint_entry import pending_changes
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 
 __all__ = (
     "ChangeRow",
@@ -105,7 +105,7 @@
     }
 
 
-def describe_in_force(found: status_board.InForce) -> InForceRow:
+def describe_in_force(found: status_tracker.InForce) -> InForceRow:
     """Return where a change is in force as operators see it."""
     return {"n": found.n, "of": found.of, "lagging": list(found.lagging)}
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry import administration_state
 from gentianpoint_entry import change_answers
 from gentianpoint_entry import change_writer
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 
 __all__ = ("Watchers",)
 
@@ -136,7 +136,9 @@
             if found.of and found.n == found.of:
                 self._stop_counting(offset)
 
-    def _write_count(self, offset: int, found: status_board.InForce) -> bytes:
+    def _write_count(
+        self, offset: int, found: status_tracker.InForce
+    ) -> bytes:
         return _encode_line(
             "in_force",
             {
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_writer.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_writer.py
@@ -14,7 +14,7 @@
 from gentianpoint_entry import administration_state
 from gentianpoint_entry import pending_changes
 
-__all__ = ("ChangeWriter", "WriteBody", "refuse_call")
+__all__ = ("ChangeWriter", "WriteBody", "make_refusal")
 
 _OUTCOME_WITHIN_S: typing.Final = 8
 _UNSURE_WITHIN_S: typing.Final = 3
@@ -32,7 +32,7 @@
     change: str = ""
 
 
-def refuse_call(reason: str, status: int = 400) -> errors.CallError:
+def make_refusal(reason: str, status: int = 400) -> errors.CallError:
     """Return the error for an operator's call that can't be served."""
     return errors.CallError(
         errors.INVALID_REQUEST,
@@ -78,7 +78,7 @@
         )
         checked = resource_rules.validate_change(record)
         if checked.is_error():
-            raise refuse_call(checked.error.reason)
+            raise make_refusal(checked.error.reason)
         sure = await self._append(wanted, record)
         within_s = _OUTCOME_WITHIN_S if sure else _UNSURE_WITHIN_S
         return await self._wait_outcome(wanted, within_s)
@@ -92,7 +92,7 @@
         # with the outcome of the first, and the second never made.
         given = (known.kind, known.name, known.action)
         if given != (wanted.kind, wanted.name, wanted.action):
-            raise refuse_call(
+            raise make_refusal(
                 f"change: {known.change} was the {known.action} of "
                 f"{known.kind} {known.name}"
             )
@@ -105,7 +105,7 @@
             return
         checked = resource_rules.validate_specification(wanted.kind, body.spec)
         if checked.is_error():
-            raise refuse_call(checked.error.reason)
+            raise make_refusal(checked.error.reason)
 
     async def _append(
         self, wanted: pending_changes.PendingChange, record: bytes
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
@@ -42,7 +42,7 @@
         self._tail: typing.Final = tail
         self._hosts: typing.Final = hosts
 
-    async def send_for_ever(self, link: agent_links.AgentLink) -> None:
+    async def send_updates(self, link: agent_links.AgentLink) -> None:
         """Send now and after each change, until the link is lost."""
         await self._tail.wait_ready()
         told: typing.Optional[_Told] = None
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_tail.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_tail.py
@@ -16,7 +16,7 @@
 from gentianpoint_core import ports
 from gentianpoint_core import specifications
 from gentianpoint_core.generated import events
-from gentianpoint_entry import collection_pauses
+from gentianpoint_entry import garbage_collection
 from gentianpoint_entry import peer_state
 from gentianpoint_entry import snapshot_store
 
@@ -40,7 +40,9 @@
 class ConfigurationTail:
     """The configuration as this entry has folded it."""
 
-    def __init__(self, log: ports.Log, peers: peer_state.PeerStates) -> None:
+    def __init__(
+        self, log: ports.Log, peers: peer_state.PeerStateClient
+    ) -> None:
         """Follow ``log``, and ask ``peers`` when it fails."""
         self.state = configuration.Configuration()
         self._log: typing.Final = log
@@ -170,7 +172,7 @@
 
     async def _take_snapshot(self) -> bool:
         """Take a newer snapshot from the log; tell whether there was one."""
-        state = await snapshot_store.read_state_above(
+        state = await snapshot_store.read_newer_state(
             self._log, self.state.offset
         )
         if state is None:
@@ -192,7 +194,7 @@
         if state.offset > self.state.offset:
             self.state = state
             self._in_hole = False
-            collection_pauses.exempt_live_objects()
+            garbage_collection.freeze_live_objects()
             self._announce()
 
     def _announce(self) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
@@ -73,7 +73,7 @@
 
     def end_calls(self) -> None:
         """Have all calls that still wait answer what they can."""
-        self.shutdown.end_waits()
+        self.shutdown.cancel_waits()
         for call in self._open_calls:
             call.end_wait()
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
@@ -42,7 +42,7 @@
 from gentianpoint_entry import plain_routes
 from gentianpoint_entry import request_options
 from gentianpoint_entry import snapshot_writer
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 from gentianpoint_entry import status_writer
 from gentianpoint_entry.generated import settings as entry_settings
 
@@ -66,7 +66,7 @@
 
 
 def _make_app(
-    state: entry_state.EntryState, board: status_board.StatusBoard
+    state: entry_state.EntryState, board: status_tracker.StatusTracker
 ) -> quart_trio.QuartTrio:
     app = quart_trio.QuartTrio(__name__)
     app.asgi_app = open_calls.CallCloser(  # type: ignore[method-assign]
@@ -138,7 +138,7 @@
 
 async def _serve_http(
     state: entry_state.EntryState,
-    board: status_board.StatusBoard,
+    board: status_tracker.StatusTracker,
     stop: trio.Event,
 ) -> None:
     config = caller_sockets.CallerConfig()
@@ -213,7 +213,7 @@
         incarnation = secrets.token_hex(_INCARNATION_BYTES)
         log = http_log.HttpLog(settings.log_url, client)
         live = live_hosts.LiveHosts(settings.name)
-        peers = peer_state.PeerStates(live, client, settings.peer_key)
+        peers = peer_state.PeerStateClient(live, client, settings.peer_key)
         tail = configuration_tail.ConfigurationTail(log, peers)
         writer = snapshot_writer.SnapshotWriter(log, tail, live, settings)
         sender = configuration_sender.ConfigurationSender(tail, live)
@@ -223,7 +223,7 @@
             link_pool.share_links(
                 settings.links_per_service, settings.processes_on_host
             ),
-            sender.send_for_ever,
+            sender.send_updates,
         )
         dispatcher = dispatch.Dispatcher(
             pool,
@@ -250,7 +250,9 @@
             settings.hosts_poll_ms,
             settings.processes_on_host,
         )
-        board = status_board.StatusBoard(log, tail, live, pool.list_all_links)
+        board = status_tracker.StatusTracker(
+            log, tail, live, pool.list_all_links
+        )
         nursery.start_soon(writer.run)
         nursery.start_soon(board.run)
         nursery.start_soon(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry_state.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry import retry_budgets
 from gentianpoint_entry.generated import settings as entry_settings
 
-__all__ = ("CallOptions", "EntryState", "is_answered")
+__all__ = ("CallOptions", "EntryState", "serves_customer")
 
 _ALL_CUSTOMERS: typing.Final = "*"
 _DEFAULT_PRIORITY: typing.Final = 5
@@ -39,7 +39,7 @@
     """Idempotency key; empty for none."""
 
 
-def is_answered(spec: resources.ServiceSpec, customer: str) -> bool:
+def serves_customer(spec: resources.ServiceSpec, customer: str) -> bool:
     """Tell whether a service answers a customer."""
     return bool({customer, _ALL_CUSTOMERS} & set(spec["customers"]))
 
@@ -91,7 +91,7 @@
         resource = self.tail.state.find_resource(configuration.SERVICE, name)
         if resource is not None:
             spec = specifications.decode_service(resource.spec)
-            if is_answered(spec, customer):
+            if serves_customer(spec, customer):
                 return spec
         raise errors.CallError(
             errors.UNKNOWN_SERVICE,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/collection_pauses.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/garbage_collection.py
@@ -2,10 +2,10 @@
 
 import gc
 
-__all__ = ("exempt_live_objects",)
+__all__ = ("freeze_live_objects",)
 
 
-def exempt_live_objects() -> None:
+def freeze_live_objects() -> None:
     """Let the collector pass over all objects that live now.
 
     A configuration of 48,000 customers is hundreds of thousands of objects
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
@@ -106,7 +106,7 @@
         rows = []
         for item in state.tail.state.list_resources(configuration.SERVICE):
             spec = specifications.decode_service(item.spec)
-            if spec["kind"] == "model" and entry_state.is_answered(
+            if spec["kind"] == "model" and entry_state.serves_customer(
                 spec, customer
             ):
                 rows.append(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/host_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/host_watch.py
@@ -10,13 +10,13 @@
 from gentianpoint_entry import link_pool
 from gentianpoint_entry import live_hosts
 
-__all__ = ("compute_pause_ms", "watch_hosts")
+__all__ = ("compute_poll_interval_ms", "watch_hosts")
 
 _FREE_BYTES: typing.Final = 2048
 _BUDGET_BYTES_S: typing.Final = 500
 
 
-def compute_pause_ms(
+def compute_poll_interval_ms(
     poll_ms: int, read_bytes: int, processes_on_host: int = 1
 ) -> int:
     """Return the time to the next reading of the list, milliseconds.
@@ -28,9 +28,9 @@
     comes late anyway: agents tell themselves that they leave, and one that
     is gone is noticed by its silence.
 
-    >>> compute_pause_ms(1000, 2048)
+    >>> compute_poll_interval_ms(1000, 2048)
     1000
-    >>> compute_pause_ms(1000, 32048)
+    >>> compute_poll_interval_ms(1000, 32048)
     60000
     """
     owed_bytes = (read_bytes - _FREE_BYTES) * processes_on_host
@@ -68,7 +68,7 @@
             available = True
             pool.update_hosts(hosts)
             live.update_hosts(hosts)
-        pause_ms = compute_pause_ms(
+        pause_ms = compute_poll_interval_ms(
             poll_ms, host_list.count_read_bytes(), processes_on_host
         )
         await trio.sleep(pause_ms / 1000)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/peer_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/peer_state.py
@@ -12,7 +12,7 @@
 from gentianpoint_core import ports
 from gentianpoint_core import snapshots
 from gentianpoint_core.generated import events
-from gentianpoint_entry import collection_pauses
+from gentianpoint_entry import garbage_collection
 from gentianpoint_entry import live_hosts
 
 __all__ = (
@@ -20,7 +20,7 @@
     "OFFSET_HEADER",
     "STATE_PATH",
     "PeerAnswer",
-    "PeerStates",
+    "PeerStateClient",
 )
 
 STATE_PATH: typing.Final = "/peer/v1/state"
@@ -43,7 +43,7 @@
     """A state above one's own offset; None when none has one."""
 
 
-class PeerStates:
+class PeerStateClient:
     """Asks other entries for their folded state."""
 
     def __init__(
@@ -109,7 +109,7 @@
     async def _check_state(
         self, host: ports.Host, offset: int, answer: httpx.Response
     ) -> PeerAnswer:
-        collection_pauses.exempt_live_objects()
+        garbage_collection.freeze_live_objects()
         result = await trio.to_thread.run_sync(
             snapshots.expand_state,
             answer.content,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/shutdown_limits.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/shutdown_limits.py
@@ -19,16 +19,16 @@
     """The waits of calls for anything but the next message of an agent."""
 
     def __init__(self) -> None:
-        """Limit nothing until :meth:`end_waits`."""
+        """Limit nothing until :meth:`cancel_waits`."""
         self._scopes: typing.Final[set[trio.CancelScope]] = set()
-        self.is_over = False
+        self.is_expired = False
 
     @contextlib.contextmanager
     def limit_wait(
         self, make_error: abc.Callable[[], errors.CallError]
     ) -> abc.Iterator[None]:
         """Raise the error of ``make_error`` if the wait has to end."""
-        if self.is_over:
+        if self.is_expired:
             raise make_error()
         with trio.CancelScope() as scope:
             self._scopes.add(scope)
@@ -39,8 +39,8 @@
         if scope.cancelled_caught:
             raise make_error()
 
-    def end_waits(self) -> None:
+    def cancel_waits(self) -> None:
         """End all waits, and begin none any more."""
-        self.is_over = True
+        self.is_expired = True
         for scope in self._scopes:
             scope.cancel()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
@@ -12,9 +12,9 @@
 from gentianpoint_core import ports
 from gentianpoint_core import snapshots
 from gentianpoint_core.generated import events
-from gentianpoint_entry import collection_pauses
+from gentianpoint_entry import garbage_collection
 
-__all__ = ("read_newest_entry", "read_state_above", "write_snapshot")
+__all__ = ("read_newest_entry", "read_newer_state", "write_snapshot")
 
 _IDENTIFIER_BYTES: typing.Final = 8
 _TRIED_ENTRIES: typing.Final = 8
@@ -49,7 +49,7 @@
     return entries[0] if entries else None
 
 
-async def read_state_above(
+async def read_newer_state(
     log: ports.Log, offset: int
 ) -> typing.Optional[configuration.Configuration]:
     """Return the newest whole snapshot above ``offset``, if there is one.
@@ -62,7 +62,7 @@
         if entry.offset <= offset:
             return None
         records = await _read_parts(log, entry)
-        collection_pauses.exempt_live_objects()
+        garbage_collection.freeze_live_objects()
         result = await trio.to_thread.run_sync(
             snapshots.join_parts, entry, records
         )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_board.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_tracker.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry import status_records
 from gentianpoint_entry import status_writer
 
-__all__ = ("InForce", "StatusBoard")
+__all__ = ("InForce", "StatusTracker")
 
 _FOLLOWED_MS: typing.Final = 60_000
 _WAIT_MS: typing.Final = 2000
@@ -40,7 +40,7 @@
     """Names of some of the others."""
 
 
-class StatusBoard:
+class StatusTracker:
     """The highest offset that each host is known to have."""
 
     def __init__(
