--- a/bench/policies.py
+++ b/bench/policies.py
@@ -28,7 +28,7 @@
 from gentianpoint_entry import authentication
 from gentianpoint_entry.load import arrivals
 from gentianpoint_entry.load import callers
-from gentianpoint_entry.load import figures
+from gentianpoint_entry.load import results
 from gentianpoint_entry.load import scenarios
 from gentianpoint_standins import processes
 
@@ -216,7 +216,7 @@
             {row.name: row.name for row in scenario.customers},
             scenario.service,
         )
-        seen = figures.LoadFigures()
+        seen = results.LoadResults()
         trio.run(callers.send_load, target, planned, seen.add)
         if timer is not None:
             timer.join()
--- a/packages/gentianpoint-entry/features/load_builders.py
+++ b/packages/gentianpoint-entry/features/load_builders.py
@@ -2,7 +2,7 @@
 
 from collections import abc
 
-from gentianpoint_entry.load import figures
+from gentianpoint_entry.load import results
 from gentianpoint_entry.load import scenarios
 
 
@@ -27,12 +27,12 @@
 
 def make_outcome(
     customer: str = "large",
-    outcome: str = figures.OK,
+    outcome: str = results.OK,
     gaps_ms: abc.Sequence[float] = (),
-) -> figures.RequestOutcome:
+) -> results.RequestOutcome:
     """Return an outcome with the given gaps."""
     tokens = len(gaps_ms) + 1
     total_ms = sum(gaps_ms)
-    return figures.RequestOutcome(
+    return results.RequestOutcome(
         "ticket", customer, outcome, 1.0, 5.0, gaps_ms, tokens, total_ms
     )
--- a/packages/gentianpoint-entry/features/steps/load_steps.py
+++ b/packages/gentianpoint-entry/features/steps/load_steps.py
@@ -7,7 +7,7 @@
 import load_builders
 
 from gentianpoint_entry.load import arrivals
-from gentianpoint_entry.load import figures
+from gentianpoint_entry.load import results
 from gentianpoint_entry.load import scenarios
 
 
@@ -57,27 +57,27 @@
 
 @behave.when("a stream has the gaps {gaps}")
 def add_stream(context, gaps):
-    context.figures = figures.LoadFigures()
+    context.results = results.LoadResults()
     values = [float(gap) for gap in gaps.split()]
-    context.figures.add(load_builders.make_outcome(gaps_ms=values))
+    context.results.add(load_builders.make_outcome(gaps_ms=values))
 
 
 @behave.then("its stall time is {stall:g} ms")
 def check_stall(context, stall):
-    assert context.figures.stall_ms == stall, context.figures.stall_ms
+    assert context.results.stall_ms == stall, context.results.stall_ms
 
 
 @behave.when("10 requests of large are answered and 10 of small are refused")
 def add_shares(context):
-    context.figures = figures.LoadFigures()
+    context.results = results.LoadResults()
     for _ in range(10):
-        context.figures.add(load_builders.make_outcome("large"))
-        context.figures.add(load_builders.make_outcome("small", "not_run"))
+        context.results.add(load_builders.make_outcome("large"))
+        context.results.add(load_builders.make_outcome("small", "not_run"))
 
 
 @behave.then("the least customer's share is 0")
 def check_share(context):
-    summary = context.figures.summarize()
+    summary = context.results.summarize()
     assert summary["least_customer_share"] == 0.0, summary
     assert summary["answered_share"] == 0.5, summary
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/callers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/callers.py
@@ -8,7 +8,7 @@
 import trio
 
 from gentianpoint_entry.load import arrivals
-from gentianpoint_entry.load import figures
+from gentianpoint_entry.load import results
 
 __all__ = ("LoadTarget", "send_load")
 
@@ -73,7 +73,7 @@
             clock.note_tokens(tokens)
         for line in lines:
             if line.startswith(_DONE):
-                outcome = figures.OK
+                outcome = results.OK
             elif line.startswith(b'data: {"error"'):
                 outcome = _read_code(line.removeprefix(_DATA))
     return outcome
@@ -93,7 +93,7 @@
     target: LoadTarget,
     entry: str,
     arrival: arrivals.Arrival,
-) -> figures.RequestOutcome:
+) -> results.RequestOutcome:
     body: dict[str, typing.Any] = {
         "model": target.service,
         "prompt": arrival.prompt,
@@ -117,7 +117,7 @@
     except httpx.HTTPError:
         outcome = "broken"
     tokens = len(clock.gaps_ms) + (1 if clock.first_ms else 0)
-    return figures.RequestOutcome(
+    return results.RequestOutcome(
         arrival.kind.name,
         arrival.customer,
         outcome,
@@ -132,7 +132,7 @@
 async def send_load(
     target: LoadTarget,
     planned: abc.Sequence[arrivals.Arrival],
-    note: abc.Callable[[figures.RequestOutcome], None],
+    note: abc.Callable[[results.RequestOutcome], None],
 ) -> None:
     """Send all requests at their times and wait for their ends.
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/reports.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/reports.py
@@ -10,7 +10,7 @@
 import matplotlib.figure
 import msgspec
 
-from gentianpoint_entry.load import figures
+from gentianpoint_entry.load import results
 
 __all__ = ("write_html", "write_json")
 
@@ -69,7 +69,7 @@
     path: pathlib.Path,
     title: str,
     summary: abc.Mapping[str, typing.Any],
-    run: figures.LoadFigures,
+    run: results.LoadResults,
 ) -> None:
     """Write a page that needs nothing but itself."""
     rows = "".join(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/figures.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/results.py
@@ -10,7 +10,7 @@
 
 import ddsketch
 
-__all__ = ("LoadFigures", "RequestOutcome")
+__all__ = ("LoadResults", "RequestOutcome")
 
 _QUANTILES: typing.Final = (0.5, 0.95, 0.99)
 _STALL_FACTOR: typing.Final = 2.0
@@ -49,7 +49,7 @@
     return sum(gap - pace_ms for gap in gaps_ms if gap > limit_ms)
 
 
-class LoadFigures:
+class LoadResults:
     """Figures of one run, added up outcome by outcome."""
 
     def __init__(self) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
@@ -11,8 +11,8 @@
 
 from gentianpoint_entry.load import arrivals
 from gentianpoint_entry.load import callers
-from gentianpoint_entry.load import figures
 from gentianpoint_entry.load import reports
+from gentianpoint_entry.load import results
 from gentianpoint_entry.load import scenarios
 
 __all__ = ("LoadOrder", "run_load")
@@ -39,7 +39,7 @@
     return callers.LoadTarget(urls, keys, service)
 
 
-async def _show_progress(run: figures.LoadFigures, planned: int) -> None:
+async def _show_progress(run: results.LoadResults, planned: int) -> None:
     while True:
         await trio.sleep(_PROGRESS_S)
         ended = run.count_requests()
@@ -55,7 +55,7 @@
 async def _run_load(
     target: callers.LoadTarget,
     planned: typing.Sequence[arrivals.Arrival],
-    run: figures.LoadFigures,
+    run: results.LoadResults,
 ) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_show_progress, run, len(planned))
@@ -88,7 +88,7 @@
         raise typer.BadParameter(str(error)) from error
     target = _read_target(order.deployment, order.entries, chosen.service)
     planned = arrivals.draw_arrivals(chosen, order.seed)
-    run = figures.LoadFigures()
+    run = results.LoadResults()
     trio.run(functools.partial(_run_load, target, planned, run))
     summary = {
         "scenario": chosen.name,
