--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
@@ -59,7 +59,7 @@
     for number in map(int, numbers.split()):
         event = stream_events.StreamEvent(b"", number)
         try:
-            if context.order.take(event):
+            if context.order.accept(event):
                 given.append(str(number))
         except stream_events.EventOrderError:
             given.append("and then a failure")
@@ -85,7 +85,7 @@
 
 @behave.then("the event is passed on")
 def check_passed_on(context):
-    assert context.order.take(context.event)
+    assert context.order.accept(context.event)
 
 
 def make_pieces():
@@ -124,7 +124,7 @@
             numbers = [
                 event.number
                 for event in events
-                if order.take(event) and event.number is not None
+                if order.accept(event) and event.number is not None
             ]
         except stream_events.EventOrderError:
             return
--- a/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
@@ -101,9 +101,9 @@
     draw(context, count, 1, _NOW + age_ms / 1000, rate)
 
 
-def draw(context, count, entries, now, others_per_s):
+def draw(context, count, entries, now, other_arrivals_per_s):
     request = make_request(context)
-    source = random.Random(3)
+    rng = random.Random(3)
     context.placed = [
         target_selection.choose_target(
             context.engines.values(),
@@ -111,8 +111,8 @@
             forwarding_builders.DATA_CENTRE,
             entries,
             now,
-            source,
-            others_per_s=others_per_s,
+            rng,
+            other_arrivals_per_s=other_arrivals_per_s,
         ).target_id
         for _ in range(count)
     ]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/attempts.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""What has been tried of one request, and what may still be."""
+"""Tracks the attempts at one request, and whether more are allowed."""
 
 import typing
 
@@ -19,7 +19,7 @@
     def __init__(
         self, shared: forwarder.Forwarder, request: requests.CallerRequest
     ) -> None:
-        """Start with none."""
+        """Start without attempts."""
         self.tried: typing.Final[set[str]] = set()
         self.may_have_run = False
         self.runs = 0
@@ -28,9 +28,9 @@
         self._retry_after_ms = 0.0
 
     def note_run(self, *, is_same_run: bool = False) -> None:
-        """Note that a target has, or may have, run the request.
+        """Record that a target has, or may have, run the request.
 
-        A request that goes on from a copy counts as the same run.
+        A request that continues from a copy counts as the same run.
         """
         self.may_have_run = True
         self.runs += not is_same_run
@@ -42,7 +42,7 @@
         *,
         is_same_run: bool = False,
     ) -> None:
-        """Note an attempt that got no answer."""
+        """Record an attempt that got no answer."""
         self._shared.note_failure(target, error)
         if error.took_effect:
             self.note_run(is_same_run=is_same_run)
@@ -50,32 +50,37 @@
     def note_refusal(
         self, target: targets.Target, answer: target_calls.TargetAnswer
     ) -> None:
-        """Note that a target did not take the request."""
+        """Record that a target did not accept the request."""
         self._retry_after_ms = max(self._retry_after_ms, answer.retry_after_ms)
         self._shared.note_refusal(target, answer)
 
-    def may_run_again(self, *, besides: int = 0) -> bool:
+    def may_run_again(self, *, unrecorded_runs: int = 0) -> bool:
         """Tell whether a request that may have run may be run once more.
 
-        ``besides`` is the number of runs under way that are not noted yet.
+        ``unrecorded_runs`` is the number of runs in progress that are not
+        recorded yet.
         """
         route = self._request.route
-        return route.may_repeat() and self.runs + besides < route.max_attempts
+        return (
+            route.may_repeat()
+            and self.runs + unrecorded_runs < route.max_attempts
+        )
 
     def may_send_again(self) -> bool:
         """Tell whether the request may be sent to another target."""
         return not self.may_have_run or self.may_run_again()
 
     def give_up(
-        self, answer: caller_answers.CallerAnswer, reason_unknown: str
+        self, answer: caller_answers.CallerAnswer, unknown_outcome_reason: str
     ) -> typing.Optional[refusals.Refusal]:
-        """Return the refusal of a caller that has nothing yet, else None.
+        """Return a refusal if the caller has nothing yet, else None.
 
-        ``reason_unknown`` says why the outcome can't be told, if it can't.
+        ``unknown_outcome_reason`` says why the outcome is unknown if the
+        request may have run.
         """
         if answer.is_started:
             return None
         if self.may_have_run:
-            return refusals.refuse_outcome_unknown(reason_unknown)
+            return refusals.refuse_outcome_unknown(unknown_outcome_reason)
         reason = "no target took the request"
         return refusals.refuse_not_run(reason, self._retry_after_ms)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""What all requests of an entry share, and the choice of a target."""
+"""Selects and calls targets, with the state that all requests share."""
 
 from collections import abc
 import contextlib
@@ -22,14 +22,14 @@
 
 __all__ = ("Forwarder",)
 
-_TIDY_S: typing.Final = 5.0
-"""Pause between looks for connections to targets that have gone."""
-_FREE_S: typing.Final = 0.3
-"""Time for freeing a copy, which else lapses by itself."""
+_STALE_CHECK_INTERVAL_S: typing.Final = 5.0
+"""Seconds between checks for connections to targets that have gone."""
+_RELEASE_TIMEOUT_S: typing.Final = 0.3
+"""Seconds allowed for releasing a copy, which expires by itself otherwise."""
 
 
 class _UnusedCopy(typing.NamedTuple):
-    """A copy of a generation's memory that nobody will use."""
+    """A copy of a generation's memory that will not be used."""
 
     target: targets.Target
     """Target that is asked to free it."""
@@ -38,7 +38,7 @@
 
 
 class Forwarder:
-    """Chooses targets and sends to them, and keeps count of both."""
+    """Chooses targets, sends requests to them and keeps count of both."""
 
     def __init__(
         self,
@@ -47,14 +47,14 @@
         limits: retry_limits.RetryLimits,
         data_centre: str,
         count_entries: abc.Callable[[], int],
-        source: random.Random,
-        figures: measures.Measures,
+        rng: random.Random,
+        instruments: measures.Measures,
         count_sharing: typing.Optional[abc.Callable[[], int]] = None,
     ) -> None:
-        """Serve from ``data_centre`` as one of ``count_entries()``.
+        """Serve from ``data_centre`` as one of ``count_entries()`` entries.
 
-        ``count_sharing`` returns among how many the retries are shared out,
-        where that differs.
+        ``count_sharing`` returns how many entries share the limit on retries,
+        if that differs.
         """
         self.board: typing.Final = board
         self.calls: typing.Final = calls
@@ -62,21 +62,21 @@
         self.data_centre: typing.Final = data_centre
         self.count_entries: typing.Final = count_entries
         self._count_sharing: typing.Final = count_sharing or count_entries
-        self.rng: typing.Final = source
-        self.measures: typing.Final = figures
-        self._arrivals: typing.Final = arrivals.Arrivals()
+        self.rng: typing.Final = rng
+        self.measures: typing.Final = instruments
+        self._arrival_rate: typing.Final = arrivals.ArrivalRate()
         send, receive = trio.open_memory_channel[_UnusedCopy](math.inf)
-        self._unused: typing.Final = send
-        self._to_free: typing.Final = receive
+        self._unused_sender: typing.Final = send
+        self._unused_receiver: typing.Final = receive
 
     async def close_stale_connections(self) -> None:
-        """Close what is kept for targets that have gone, for ever.
+        """Close connections to targets that have gone, until cancelled.
 
         Targets come and go every few seconds under new identifiers, and the
-        connections kept to each would add up to all descriptors.
+        connections kept to each would exhaust the file descriptors.
         """
         while True:
-            await trio.sleep(_TIDY_S)
+            await trio.sleep(_STALE_CHECK_INTERVAL_S)
             self.calls.close_unlisted(self.board.list_all())
 
     def choose_target(
@@ -92,7 +92,7 @@
         ]
         now = trio.current_time()
         if request.service.engine is not None:
-            self._arrivals.note(now)
+            self._arrival_rate.note(now)
         return target_selection.choose_target(
             candidates,
             request,
@@ -100,30 +100,31 @@
             self.count_entries(),
             now,
             self.rng,
-            others_per_s=self._estimate_other_arrivals_per_s(now),
+            other_arrivals_per_s=self._estimate_other_arrivals_per_s(now),
         )
 
     def _estimate_other_arrivals_per_s(self, now: float) -> float:
         """Return how many generations other entries send a second.
 
-        Callers are spread over the entries, so each gets much the same.
+        Callers are spread over the entries, so each entry receives about as
+        many.
         """
         others = self.count_entries() - 1
-        return self._arrivals.measure_per_s(now) * others
+        return self._arrival_rate.measure_per_s(now) * others
 
     def choose_destination(
         self, request: requests.CallerRequest, source: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Return the target to which a generation moves, or None.
 
-        Its memory is counted there at once, so that the generations that
-        move at the same time don't all go to one target.
+        The generation's memory counts there at once, so that generations that
+        move at the same time do not all go to one target.
         """
-        target = self._choose_other(
+        target = self._choose_copy_destination(
             request,
             source,
             target_selection.MAX_USED_SHARE_FOR_MOVES,
-            move_destinations.list_of_others(
+            move_destinations.list_reserved_for_others(
                 source, self.board.list_of(request.service.name)
             ),
         )
@@ -140,18 +141,18 @@
         self, request: requests.CallerRequest, runner: targets.Target
     ) -> typing.Optional[targets.Target]:
         """Return the target that keeps a copy of a generation, or None."""
-        calm_s = trio.current_time() - self.board.noticed_at
-        if calm_s < target_selection.CALM_S:
+        quiet_s = trio.current_time() - self.board.noticed_at
+        if quiet_s < target_selection.BACKUP_QUIET_PERIOD_S:
             return None
-        return self._choose_other(
+        return self._choose_copy_destination(
             request, runner, target_selection.MAX_USED_SHARE_FOR_BACKUPS
         )
 
-    def _choose_other(
+    def _choose_copy_destination(
         self,
         request: requests.CallerRequest,
         runner: targets.Target,
-        most_used: float,
+        max_used_share: float,
         avoided: abc.Collection[str] = (),
     ) -> typing.Optional[targets.Target]:
         now = trio.current_time()
@@ -162,7 +163,7 @@
             self.count_entries(),
             now,
             self.rng,
-            most_used,
+            max_used_share,
             self._estimate_other_arrivals_per_s(now),
             avoided,
         )
@@ -174,13 +175,13 @@
         request: requests.CallerRequest,
         options: requests.SendOptions,
     ) -> abc.AsyncIterator[target_calls.TargetAnswer]:
-        """Send a request, and count it at its target meanwhile."""
+        """Send a request, and count it at its target until it ends."""
         tokens = target_selection.count_tokens(request)
         now = trio.current_time()
         target.open_request(now, tokens)
-        is_read_anew = options.copy is None
+        needs_prefill = options.copy is None
         target.note_sent(
-            now, tokens, request.prompt_tokens if is_read_anew else 0
+            now, tokens, request.prompt_tokens if needs_prefill else 0
         )
         logs.log_event(
             events.REQUEST_SENT,
@@ -203,16 +204,16 @@
     def schedule_copy_release(self, target: targets.Target, name: str) -> None:
         """Queue a copy for :meth:`release_unused_copies`."""
         if not target.is_gone:
-            self._unused.send_nowait(_UnusedCopy(target, name))
+            self._unused_sender.send_nowait(_UnusedCopy(target, name))
 
     async def release_unused_copies(self) -> None:
-        """Free left-over copies, for ever, beside the streams that go on."""
-        async for copy in self._to_free:
+        """Release queued copies until cancelled, beside running streams."""
+        async for copy in self._unused_receiver:
             try:
-                with trio.move_on_after(_FREE_S):
+                with trio.move_on_after(_RELEASE_TIMEOUT_S):
                     await self.calls.free_copy(copy.target, copy.name)
             except ports.PortError as error:
-                # The copy lapses by itself after some seconds.
+                # The copy expires by itself after some seconds.
                 logs.log_event(
                     events.MOVE_FAILED,
                     source=None,
@@ -224,7 +225,7 @@
     def note_failure(
         self, target: targets.Target, error: ports.PortError
     ) -> None:
-        """Remember that a target failed, for the next choices."""
+        """Record that a target failed, for the next choices."""
         target.note_failure(trio.current_time())
         self.measures.record_failed_attempt(error.step)
         logs.log_event(
@@ -239,12 +240,12 @@
     def note_refusal(
         self, target: targets.Target, answer: target_calls.TargetAnswer
     ) -> None:
-        """Remember that a target did not take a request.
+        """Record that a target did not accept a request.
 
-        Where another target has the address, this start has ended. Its entry
-        stays on the list until it lapses, and each request that is sent to it
-        meanwhile costs its caller time and the service a retry; so it gets
-        none until it writes its entry again.
+        If another target has the address now, this start of the target has
+        ended, but its entry stays on the list until it expires. Each request
+        that is sent to it until then costs its caller time and the service a
+        retry. So it gets no requests until it writes its entry again.
         """
         if answer.is_wrong_target:
             target.is_replaced = True
@@ -258,11 +259,11 @@
         )
 
     def note_success(self, target: targets.Target) -> None:
-        """Forget failures of a target that serves."""
+        """Clear the failures of a target that serves."""
         target.failures = 0
 
     def take_retry(self, request: requests.CallerRequest) -> bool:
-        """Take one retry of the request's service, if one is left."""
+        """Take one retry of the request's service, if its limit allows it."""
         if self.limits.take_retry(
             request.service.name, trio.current_time(), self._count_sharing()
         ):
@@ -272,7 +273,7 @@
 
 
 def _describe_size(request: requests.CallerRequest) -> dict[str, int]:
-    """Return what a generation asks of an engine, for a log line."""
+    """Return the size of a generation for a log line."""
     if request.service.engine is None:
         return {}
     return {
@@ -282,7 +283,7 @@
 
 
 def _describe_target(target: targets.Target) -> dict[str, typing.Any]:
-    """Return what is believed of a target, with its age, for a log line."""
+    """Return what is known of a target, with its age, for a log line."""
     fields: dict[str, typing.Any] = {"open_requests": target.open_requests}
     if target.failures:
         fields["failures"] = target.failures
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -1,11 +1,11 @@
-"""Moves a generation from a target that leaves to one that stays.
-
-The load it answers: every few seconds a target gets notice and is gone two
-seconds later, with generations on it that run for ten and may not be run
-again. Copying the memory of one takes some tenths of a second, in which a
-stopped generation would be heard to pause. So the copy is made ahead, while
-the generation goes on, and only what has come since is copied after it has
-stopped.
+"""Moves a generation from a leaving target to one that stays.
+
+Every few seconds a target gets notice and is gone two seconds later, with
+generations on it that run for ten seconds and may not be run again. Copying
+the memory of one takes some tenths of a second, which its caller would notice
+as a pause if the generation were stopped meanwhile. So the memory is copied
+while the generation runs (pre-copy), and only what was added since is copied
+after it has stopped (stop-and-copy).
 """
 
 from collections import abc
@@ -27,25 +27,28 @@
 
 __all__ = ("GenerationMove", "StoppedGeneration")
 
-_AHEAD_MS: typing.Final = 1600.0
-"""Time for the copy made ahead, where it is not known when the target leaves.
-It is less than the usual notice of two seconds."""
-_STOP_MS: typing.Final = 900.0
-"""Time for the last copy. It waits behind the copies of other generations."""
-_SETTLE_MS: typing.Final = 90.0
-"""Time from the end of a copy made ahead until the generation runs elsewhere:
-the wait for its next event, a call, and the rest of its memory."""
-_TRIED_SHARE: typing.Final = 0.9
-"""Share of the time that a copy is estimated to take that must be left for it
-to be tried. Targets stay a little longer than their notice says."""
-_AGENT_QUIET_S: typing.Final = 0.7
-"""Time without a report after which an agent counts as stopped. While an
+_DEFAULT_PRECOPY_MS: typing.Final = 1600.0
+"""Time for the pre-copy, in milliseconds, if it is not known when the target
+leaves. It is less than the usual notice of two seconds."""
+_FINAL_COPY_MS: typing.Final = 900.0
+"""Time for the copy after the stop, in milliseconds. It waits behind the
+copies of other generations."""
+_SWITCHOVER_MS: typing.Final = 90.0
+"""Time from the end of the pre-copy until the generation runs elsewhere, in
+milliseconds: the wait for its next event, a call, and the copy of the
+remaining memory."""
+_MIN_TIME_SHARE: typing.Final = 0.9
+"""Share of a copy's estimated time that must be left for the copy to be tried.
+Targets stay a little longer than their notice says."""
+_AGENT_TIMEOUT_S: typing.Final = 0.7
+"""Seconds without a report after which an agent counts as stopped. While an
 engine generates, its report changes ten times a second."""
 
 
-_CONNECT_S: typing.Final = 0.15
-"""Time for a connection to the agent; a tenth of the shortest notices."""
-_LOOK_S: typing.Final = 0.01
+_AGENT_CONNECT_S: typing.Final = 0.15
+"""Seconds allowed for connecting to the agent; a tenth of the shortest
+notices."""
+_POLL_INTERVAL_S: typing.Final = 0.01
 
 
 class _Stage(enum.Enum):
@@ -55,16 +58,16 @@
 
 
 class StoppedGeneration(typing.NamedTuple):
-    """A generation that was stopped to go on from a copy."""
+    """A generation that was stopped in order to continue from a copy."""
 
     copy: requests.MemoryCopy
-    """The copy, from which its source can go on as well."""
-    is_there: bool
-    """False when only the source has all of it."""
+    """The copy, from which the source can continue as well."""
+    is_at_destination: bool
+    """False when only the source has all of the memory."""
 
 
 class GenerationMove:
-    """The move of one generation; used by the task that serves it."""
+    """The move of one generation, used by the task that serves it."""
 
     def __init__(
         self,
@@ -75,9 +78,10 @@
         shape: routes.EngineShape,
         count_memory: abc.Callable[[], int],
     ) -> None:
-        """Move from ``source`` to what is chosen once it is the turn.
+        """Move from ``source`` to a destination chosen when the turn comes.
 
-        ``count_memory`` returns the tokens that it has in memory now.
+        ``count_memory`` returns the tokens that the generation has in memory
+        now.
         """
         self._calls: typing.Final = calls
         self._source: typing.Final = source
@@ -91,48 +95,53 @@
         self._handle = ""
 
     def is_ready(self) -> bool:
-        """Tell whether the copy made ahead is complete."""
+        """Tell whether the generation can be stopped for the last copy."""
         return self._stage is _Stage.COPIED
 
     def has_failed(self) -> bool:
         """Tell whether no copy could be made."""
         return self._stage is _Stage.FAILED
 
-    async def copy_ahead(self) -> None:
-        """Copy the memory while the generation goes on."""
+    async def precopy(self) -> None:
+        """Copy the memory while the generation runs."""
         turns = await self._find_turns()
         if turns is not None:
             self._turns = turns
             await turns.wait_turn(
-                self._request_id, self._count_memory(), self._is_agent_heard
+                self._request_id, self._count_memory(), self._is_agent_alive
             )
-        # Chosen only now, since what had room when the move was wanted may
-        # be full after those that had the turn before.
+        # Chosen only now: a target that had room when the move was requested
+        # may be full after the moves that had their turn before.
         self.destination = self._choose_destination()
         if self.destination is None:
             self._fail("choose destination", "no target has room")
             return
-        limit = self._source.leaves_at or deadlines.make_deadline(_AHEAD_MS)
+        limit = self._source.leaves_at or deadlines.make_deadline(
+            _DEFAULT_PRECOPY_MS
+        )
         need_ms = self._estimate_copy_ms(self.destination)
-        if limit.remaining_ms() < need_ms * _TRIED_SHARE:
-            # Stopped for a copy that can't end, it would be lost, where it
-            # may still end by itself if it is left alone.
-            self._fail("copy memory", "no time for it")
-        elif limit.remaining_ms() < need_ms + _SETTLE_MS:
-            # One copy, after the stop, is all that there is time for.
+        if limit.remaining_ms() < need_ms * _MIN_TIME_SHARE:
+            # If it were stopped for a copy that cannot end in time, the
+            # generation would be lost, while it may still end by itself if it
+            # is left alone.
+            self._fail(
+                "copy memory", "too little time before the source leaves"
+            )
+        elif limit.remaining_ms() < need_ms + _SWITCHOVER_MS:
+            # There is only time for one copy, after the stop.
             self._stage = _Stage.COPIED
         else:
             await self._copy_to(self.destination, limit)
 
     async def _find_turns(self) -> typing.Optional[agent_turns.AgentTurns]:
-        """Return where turns are asked for, None without an agent.
+        """Return where turns are requested, None without an agent.
 
-        Where another entry passed the notice on, the connection to the agent
-        is only being opened.
+        If another entry forwarded the notice, the connection to the agent is
+        only being opened.
         """
-        with trio.move_on_after(_CONNECT_S):
-            while self._source.turns is None and self._is_agent_heard():
-                await trio.sleep(_LOOK_S)
+        with trio.move_on_after(_AGENT_CONNECT_S):
+            while self._source.turns is None and self._is_agent_alive():
+                await trio.sleep(_POLL_INTERVAL_S)
         return self._source.turns
 
     async def _copy_to(
@@ -152,7 +161,7 @@
             return
         self._handle = copy.handle
         if not copy.is_complete:
-            self._fail("copy memory ahead", "no room there")
+            self._fail("copy memory ahead", "the destination has no room")
             return
         self._stage = _Stage.COPIED
         logs.log_event(
@@ -163,33 +172,33 @@
         )
 
     def _estimate_copy_ms(self, destination: targets.Target) -> float:
-        """Return how long a copy of the whole memory takes, 0 if unknown."""
+        """Return how long copying the whole memory takes, 0 if unknown."""
         need_ms = self._shape.estimate_copy_ms(self._count_memory())
         here = self._source.entry.data_centre
         if destination.entry.data_centre != here:
-            need_ms *= target_selection.FAR_FACTOR
+            need_ms *= target_selection.DISTANCE_COPY_FACTOR
         return need_ms
 
-    def _is_agent_heard(self) -> bool:
+    def _is_agent_alive(self) -> bool:
         report = self._source.report
         if report is None:
             return False
-        return trio.current_time() - report.received_at < _AGENT_QUIET_S
+        return trio.current_time() - report.received_at < _AGENT_TIMEOUT_S
 
-    def end(self) -> None:
-        """Give the turn back, whatever became of the move."""
+    def release_turn(self) -> None:
+        """Give the turn back, whatever the outcome of the move."""
         if self._turns is not None:
             self._turns.give_back(self._request_id)
             self._turns = None
 
     async def stop_and_copy(self) -> typing.Optional[StoppedGeneration]:
-        """Stop the generation and copy what has come since.
+        """Stop the generation and copy what was added since.
 
-        None when the generation was not stopped, as far as can be told: if
+        Returns None if the generation was not stopped, as far as is known; if
         it was, its stream breaks off.
         """
         assert self.destination is not None
-        limit = deadlines.make_deadline(_STOP_MS)
+        limit = deadlines.make_deadline(_FINAL_COPY_MS)
         if self._source.leaves_at is not None:
             limit = limit.earlier(self._source.leaves_at)
         try:
@@ -204,23 +213,23 @@
             self._fail(error.step, error.reason)
             return None
         if not copy.is_complete:
-            self._log("copy the rest", "no room there")
+            self._log_failure("copy the rest", "the destination has no room")
         self._handle = ""
         place = requests.MemoryCopy(self._source.entry.address, copy.handle)
-        return StoppedGeneration(place, is_there=copy.is_complete)
+        return StoppedGeneration(place, is_at_destination=copy.is_complete)
 
-    def take_unused(self) -> str:
-        """Return the handle of a copy that is not used, and forget it."""
+    def take_unused_handle(self) -> str:
+        """Return and forget the handle of a copy that is not used."""
         handle = self._handle
         self._handle = ""
         return handle
 
     def _fail(self, step: str, reason: str) -> None:
-        self.end()
+        self.release_turn()
         self._stage = _Stage.FAILED
-        self._log(step, reason)
+        self._log_failure(step, reason)
 
-    def _log(self, step: str, reason: str) -> None:
+    def _log_failure(self, step: str, reason: str) -> None:
         logs.log_event(
             events.MOVE_FAILED,
             source=self._source.target_id,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
@@ -1,13 +1,13 @@
-"""Which requests an entry still takes once it has been told to stop.
+"""Which requests an entry still accepts once it has been told to stop.
 
-The load it answers: hosts are stopped and started in turn, and the balancer
-goes on to send new connections for seconds, or all the while where most of a
-data centre's entries are leaving. A generation that is taken then is cut when
-the process ends, and most may not be run again; refused at once, its caller
-comes back to another entry and has lost some milliseconds.
+Hosts are stopped and started in turn, and the load balancer keeps sending new
+connections for seconds, or all the while where most of a data centre's entries
+are leaving. A generation that is accepted then is cut when the process ends,
+and most may not be run again. If it is refused at once, its caller goes to
+another entry and loses only some milliseconds.
 
-So a generation counts with the most that it may become. Its caller's estimate
-serves placement, where an error evens out over many; here each error is a
+So a generation counts with the longest output that it may have. Its caller's
+estimate serves placement, where errors average out; here each error is a
 broken answer.
 """
 
@@ -27,29 +27,29 @@
 )
 
 READINESS_LAG_MS: typing.Final = 2600.0
-"""Time in which the balancer learns that an entry is not ready: it asks once
-a second and believes the second miss."""
+"""Time until the load balancer learns that an entry is not ready, in
+milliseconds: it checks once a second and acts on the second failure."""
 
-_PLAIN: typing.Final = 4.0
-"""Times the objective that a plain answer may take; few take more."""
-_START_MS: typing.Final = 2000.0
-"""Time from the end of an entry's process until its next start is used by
-the balancer."""
+_PLAIN_FACTOR: typing.Final = 4.0
+"""Multiple of the objective that a plain answer may take; few take longer."""
+_RESTART_MS: typing.Final = 2000.0
+"""Time from the end of an entry's process until the load balancer uses its
+next start, in milliseconds."""
 
 
 def bound_duration_ms(request: requests.CallerRequest) -> float:
-    """Return the time in which a request is to end, in milliseconds.
+    """Return the time in which a request should end, in milliseconds.
 
-    A request ends with its deadline at the latest, and sooner if its route
-    has objectives: a plain answer is likely to, and a stream on time is sure
-    to. For those that are late all the same see :func:`find_start_deadline`.
+    A request ends with its deadline at the latest, and sooner if its route has
+    objectives: a plain answer probably does, and a stream that is on time
+    certainly does. For streams that are late see :func:`find_start_deadline`.
     """
     route = request.route
     needed_ms = math.inf
     if route.kind is routes.RouteKind.STREAM:
-        needed_ms = route.objective_ms + _bound_events_ms(request)
+        needed_ms = route.objective_ms + _bound_stream_ms(request)
     elif route.objective_ms:
-        needed_ms = route.objective_ms * _PLAIN
+        needed_ms = route.objective_ms * _PLAIN_FACTOR
     if not request.deadline.is_limited():
         return needed_ms
     return min(needed_ms, request.deadline.remaining_ms())
@@ -58,20 +58,20 @@
 def find_start_deadline(
     request: requests.CallerRequest, ends_at: float
 ) -> deadlines.Deadline:
-    """Return until when an answer may begin at an entry that ends.
+    """Return until when an answer may begin at an entry that shuts down.
 
     A stream that begins later could be cut although its events keep their
-    objective. Its first event is late by then, so it is given whole once it
-    is complete, and a final answer in its place if that is too late.
+    objective. Its first event is late by then, so the stream is sent whole
+    once it is complete, or replaced by a final answer if that is too late.
     """
     is_stream = request.route.kind is routes.RouteKind.STREAM
     if not is_stream or request.deadline.at <= ends_at:
         return deadlines.Deadline(ends_at)
-    return deadlines.Deadline(ends_at - _bound_events_ms(request) / 1000)
+    return deadlines.Deadline(ends_at - _bound_stream_ms(request) / 1000)
 
 
-def _bound_events_ms(request: requests.CallerRequest) -> float:
-    """Return how long events on time may go on; infinite if unknown."""
+def _bound_stream_ms(request: requests.CallerRequest) -> float:
+    """Return how long events on time may continue; infinite if unknown."""
     gap_ms = request.route.gap_objective_ms
     if not request.most_output_tokens or not gap_ms:
         return math.inf
@@ -90,35 +90,37 @@
 
     ``near`` holds for each entry of this data centre how many milliseconds it
     has been leaving, None for one that stays, and ``far`` the same for other
-    data centres. Each leaves within ``leave_ms``, and until then takes what
-    ends within ``needed_ms`` as long as that fits. A caller that returns meets
-    any entry of its data centre, so half of them have to take it: a second
-    refusal may be its last. It meets those elsewhere once the balancer knows
-    that none of its own is ready.
+    data centres. Each leaves within ``leave_ms``, and until then accepts what
+    ends within ``needed_ms`` as long as that fits.
+
+    A caller that returns may reach any entry of its data centre, so half of
+    them have to accept the request: a second refusal may be the caller's last.
+    It reaches other data centres once the load balancer knows that no entry of
+    its own is ready.
 
     >>> find_retry_delay_ms([500.0, None], [None], 8000.0, 20000.0)
     0.0
     >>> find_retry_delay_ms([500.0, 900.0], [None], 8000.0, 20000.0)
     2100.0
     """
-    near_ms = _find_half_ms(near, leave_ms, needed_ms)
+    near_ms = _find_median_wait_ms(near, leave_ms, needed_ms)
     if not far or None in near:
         return near_ms
     unnoticed_ms = READINESS_LAG_MS - min(passed or 0.0 for passed in near)
-    far_ms = _find_half_ms(far, leave_ms, needed_ms)
+    far_ms = _find_median_wait_ms(far, leave_ms, needed_ms)
     return min(near_ms, max(unnoticed_ms, far_ms))
 
 
-def _find_half_ms(
+def _find_median_wait_ms(
     leaving_for_ms: abc.Sequence[typing.Optional[float]],
     leave_ms: float,
     needed_ms: float,
 ) -> float:
-    """Return in how many milliseconds half of the entries take a request."""
+    """Return in how many milliseconds half of the entries accept a request."""
     waits = []
     for passed_ms in leaving_for_ms:
         left_ms = math.inf if passed_ms is None else leave_ms - passed_ms
         takes_it = left_ms >= needed_ms
-        waits.append(0.0 if takes_it else max(0.0, left_ms + _START_MS))
+        waits.append(0.0 if takes_it else max(0.0, left_ms + _RESTART_MS))
     waits.sort()
     return waits[(len(waits) - 1) // 2]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
@@ -1,27 +1,26 @@
-"""Which targets the generations of each leaving target move to.
-
-The load it answers: several engines get notice at the same moment, and the
-entries with generations there would all move them to the few that look
-emptiest. Copies to one engine wait on its link one after another, so most of
-a notice of two seconds passes, and generations stand still or are lost. Here
-each leaving engine has destinations of its own, by a rule that all entries
-compute alike from the same list.
+"""Assigns destinations to the targets that leave at the same time.
+
+If several engines get notice at once, the entries would move all of their
+generations to the few engines that look emptiest. Copies to one engine queue
+on its link, so most of a notice of two seconds passes meanwhile, and
+generations pause or are lost. So each leaving engine has destinations of its
+own, by a rule that all entries compute alike from the same list.
 """
 
 from collections import abc
 
 from gentianpoint_entry.forwarding import targets
 
-__all__ = ("list_of_others",)
+__all__ = ("list_reserved_for_others",)
 
 
-def list_of_others(
+def list_reserved_for_others(
     runner: targets.Target, listed: abc.Iterable[targets.Target]
 ) -> abc.Collection[str]:
     """Return the targets that are destinations of others than ``runner``.
 
-    A data centre's targets are shared out among those that leave it; where
-    none does, among all that leave.
+    A data centre's targets are divided among those that leave it or, if none
+    does, among all that leave.
     """
     known = sorted(listed, key=lambda target: target.target_id)
     leaving = [
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/plain_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/plain_calls.py
@@ -1,4 +1,4 @@
-"""One plain request, from its target's choice to the caller's answer."""
+"""Serves a request whose answer is one body."""
 
 import math
 import typing
@@ -17,18 +17,20 @@
 
 __all__ = ("PlainCall",)
 
-_MOST_SENDS: typing.Final = 4
-"""Targets that one request is tried at, when those before did not run it.
+_MAX_SENDS: typing.Final = 4
+"""Most targets that one request is sent to, as long as none of them ran it.
 More would cost the caller more time than coming back."""
-_MOST_HELD_BYTES: typing.Final = 262144
-"""Longest answer that is held until it is whole, so that one that breaks off
-can still be replaced. Longer ones go on as they arrive."""
-_PATIENCE: typing.Final = 3.0
-"""Times the objective after which an idempotent request is sent elsewhere.
-Most of a target's answers come within the objective, so three times it marks
-a target that is stuck, and leaves time for another one."""
-_SHORTEST_PATIENCE_MS: typing.Final = 250.0
-"""A target that is only slow at its start answers within this."""
+_MAX_BUFFERED_BYTES: typing.Final = 262144
+"""Longest answer, in bytes, that is buffered until it is complete, so that one
+that breaks off can still be replaced. Longer ones are forwarded as they
+arrive."""
+_TIMEOUT_FACTOR: typing.Final = 3.0
+"""Multiple of the route's objective after which an idempotent request is sent
+to another target. Most answers arrive within the objective, so three times as
+long indicates a stuck target and leaves time for another one."""
+_MIN_TIMEOUT_MS: typing.Final = 250.0
+"""Least time, in milliseconds, before the request is sent to another target. A
+target that is only slow after its start answers within it."""
 
 
 class PlainCall(caller_calls.CallerCall):
@@ -45,11 +47,11 @@
         self._request: typing.Final = request
         self._answer: typing.Final = answer
         self.attempts = attempts.Attempts(shared, request)
-        self._has_retry = False
+        self._has_reserved_retry = False
 
     async def serve(self) -> typing.Optional[refusals.Refusal]:
         """Answer the caller; return a refusal if there is no answer."""
-        for number in range(_MOST_SENDS):
+        for number in range(_MAX_SENDS):
             target = self._shared.choose_target(
                 self._request, self.attempts.tried
             )
@@ -71,113 +73,121 @@
         )
 
     def _take_retry(self) -> bool:
-        """Take a retry, unless one is held for the next attempt."""
-        if self._has_retry:
-            self._has_retry = False
+        """Take a retry, unless one is reserved for this attempt."""
+        if self._has_reserved_retry:
+            self._has_reserved_retry = False
             return True
         return self._shared.take_retry(self._request)
 
     async def _try_target(self, target: targets.Target) -> bool:
-        """Send to one target; True when the caller has its answer."""
-        patience = trio.CancelScope(deadline=self._find_patience())
-        with patience:
+        """Send to one target; return True when the caller has its answer."""
+        attempt_scope = trio.CancelScope(
+            deadline=self._find_attempt_deadline()
+        )
+        with attempt_scope:
             async with self._shared.send(
                 target, self._request, requests.SendOptions()
-            ) as got:
-                if got.is_refusal():
-                    self.attempts.note_refusal(target, got)
+            ) as target_answer:
+                if target_answer.is_refusal():
+                    self.attempts.note_refusal(target, target_answer)
                     return False
-                return await self._pass_on(target, got, patience)
+                return await self._forward_answer(
+                    target, target_answer, attempt_scope
+                )
         raise ports.PortError(
             "wait for answer",
             target.entry.address,
-            "no answer in a time in which another target gives one",
+            "no answer before the timeout for trying another target",
             took_effect=True,
         )
 
-    def _find_patience(self) -> float:
+    def _find_attempt_deadline(self) -> float:
         """Return when to stop waiting for this target, on trio's clock."""
-        if not self.attempts.may_run_again(besides=1):
+        if not self.attempts.may_run_again(unrecorded_runs=1):
             return math.inf
         route = self._request.route
-        wait_ms = max(route.objective_ms * _PATIENCE, _SHORTEST_PATIENCE_MS)
+        wait_ms = max(route.objective_ms * _TIMEOUT_FACTOR, _MIN_TIMEOUT_MS)
         left_ms = self._request.deadline.remaining_ms()
         return trio.current_time() + min(wait_ms, left_ms / 2) / 1000
 
-    async def _pass_on(
+    async def _forward_answer(
         self,
         target: targets.Target,
-        got: target_calls.TargetAnswer,
-        patience: trio.CancelScope,
+        target_answer: target_calls.TargetAnswer,
+        attempt_scope: trio.CancelScope,
     ) -> bool:
-        held = bytearray()
-        body = got.receive_body()
+        buffered = bytearray()
+        body = target_answer.receive_body()
         async for chunk in body:
-            held += chunk
-            if len(held) > _MOST_HELD_BYTES:
+            buffered += chunk
+            if len(buffered) > _MAX_BUFFERED_BYTES:
                 break
         else:
-            patience.deadline = math.inf
-            return await self._pass_on_whole(target, got, bytes(held))
-        patience.deadline = math.inf
-        self._check_answer(target, got)
+            attempt_scope.deadline = math.inf
+            return await self._forward_whole_answer(
+                target, target_answer, bytes(buffered)
+            )
+        attempt_scope.deadline = math.inf
+        self._check_answer(target, target_answer)
         self._shared.note_success(target)
-        await self._answer.start(got.status, got.headers)
-        await self._answer.send(bytes(held))
+        await self._answer.start(target_answer.status, target_answer.headers)
+        await self._answer.send(bytes(buffered))
         async for chunk in body:
             await self._answer.send(chunk)
         await self._answer.finish()
         return True
 
-    async def _pass_on_whole(
+    async def _forward_whole_answer(
         self,
         target: targets.Target,
-        got: target_calls.TargetAnswer,
+        target_answer: target_calls.TargetAnswer,
         body: bytes,
     ) -> bool:
-        self._check_answer(target, got)
-        if got.status >= 500 and self._is_worth_another():
-            self._note_status(target, got)
-            # Taken here: once the failure is dropped, its caller could only
-            # be told that the outcome is unknown.
-            self._has_retry = self._shared.take_retry(self._request)
-            if self._has_retry:
+        self._check_answer(target, target_answer)
+        if target_answer.status >= 500 and self._can_replace_failure():
+            self._note_status(target, target_answer)
+            # Taken before the failure is discarded: without a retry, the
+            # caller could then only be told that the outcome is unknown.
+            self._has_reserved_retry = self._shared.take_retry(self._request)
+            if self._has_reserved_retry:
                 return False
-        if got.status < 500:
+        if target_answer.status < 500:
             self._shared.note_success(target)
-        await self._answer.send_whole(got.status, got.headers, body)
+        await self._answer.send_whole(
+            target_answer.status, target_answer.headers, body
+        )
         return True
 
     def _note_status(
-        self, target: targets.Target, got: target_calls.TargetAnswer
+        self, target: targets.Target, target_answer: target_calls.TargetAnswer
     ) -> None:
         error = ports.PortError(
             "receive answer",
             target.entry.address,
-            f"the target answered with status {got.status}",
+            f"the target answered with status {target_answer.status}",
             took_effect=True,
         )
         self.attempts.note_error(target, error)
 
     def _check_answer(
-        self, target: targets.Target, got: target_calls.TargetAnswer
+        self, target: targets.Target, target_answer: target_calls.TargetAnswer
     ) -> None:
-        """Raise unless the answer may be given to the caller."""
-        if got.may_pass_on():
+        """Raise ``ports.PortError`` unless the answer may be forwarded."""
+        if target_answer.may_forward():
             return
         raise ports.PortError(
             "receive answer",
             target.entry.address,
-            f"status {got.status} is no answer that the target stands for",
+            f"status {target_answer.status} may not be sent to the caller",
             took_effect=True,
         )
 
-    def _is_worth_another(self) -> bool:
-        """Tell whether a failure is better replaced by another target's."""
+    def _can_replace_failure(self) -> bool:
+        """Tell whether another target may answer in place of a failure."""
         tried = self.attempts.tried
-        if not self.attempts.may_run_again(besides=1):
+        if not self.attempts.may_run_again(unrecorded_runs=1):
             return False
-        if len(tried) >= _MOST_SENDS:
+        if len(tried) >= _MAX_SENDS:
             return False
-        # The target itself is among those tried.
+        # The target that failed is among those tried.
         return self._shared.choose_target(self._request, tried) is not None
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/request_handling.py
@@ -22,10 +22,10 @@
 
 __all__ = ("RequestHandler", "SendRefusal")
 
-_LAST_ANSWERS_S: typing.Final = 0.1
-"""Time for the final answers of an entry that ends."""
-_LOOK_S: typing.Final = 0.005
-"""Pause between looks at whether they have been given."""
+_FINAL_ANSWERS_S: typing.Final = 0.1
+"""Seconds for sending the final answers when the entry shuts down."""
+_POLL_INTERVAL_S: typing.Final = 0.005
+"""Seconds between checks whether the final answers have been sent."""
 
 SendRefusal = abc.Callable[
     [caller_answers.CallerAnswer, refusals.Refusal], abc.Awaitable[None]
@@ -34,25 +34,27 @@
 
 
 class RequestHandler:
-    """Serves requests one by one, each in the task of its connection."""
+    """Serves each request in the task of its connection."""
 
     def __init__(
         self,
         shared: forwarder.Forwarder,
         send_refusal: SendRefusal,
-        find_end: abc.Callable[[], typing.Optional[float]] = lambda: None,
+        find_shutdown_time: abc.Callable[
+            [], typing.Optional[float]
+        ] = lambda: None,
         find_retry_delay_ms: abc.Callable[[float], float] = lambda needed_ms: (
             0.0
         ),
     ) -> None:
-        """Serve with what all requests share.
+        """Serve with the state that all requests share.
 
-        ``find_end`` returns when this entry ends, on trio's clock, if it has
-        been told to stop. ``find_retry_delay_ms`` returns in how many
-        milliseconds a caller whose request ends within the given ones can be
-        served.
+        ``find_shutdown_time`` returns when this entry ends, on trio's clock,
+        if it has been told to stop. ``find_retry_delay_ms`` returns in how
+        many milliseconds a caller can be served whose request takes the given
+        ones.
         """
-        self._find_end: typing.Final = find_end
+        self._find_shutdown_time: typing.Final = find_shutdown_time
         self._find_retry_delay_ms: typing.Final = find_retry_delay_ms
         self._shared: typing.Final = shared
         self._send_refusal: typing.Final = send_refusal
@@ -61,9 +63,9 @@
         ] = {}
 
     async def give_up_unanswered(self) -> None:
-        """Give requests whose answer has not begun their final one.
+        """Cancel requests without an answer so that they get a final one.
 
-        Returns when all have it, or the time for it is over.
+        Returns when all of them have it, or when the time for it is over.
         """
         given_up = {
             scope: answer
@@ -72,9 +74,9 @@
         }
         for scope in given_up:
             scope.cancel()
-        with trio.move_on_after(_LAST_ANSWERS_S):
+        with trio.move_on_after(_FINAL_ANSWERS_S):
             while not all(answer.is_finished for answer in given_up.values()):
-                await trio.sleep(_LOOK_S)
+                await trio.sleep(_POLL_INTERVAL_S)
 
     async def serve(
         self,
@@ -83,12 +85,12 @@
     ) -> None:
         """Give the request its final answer, at its deadline at the latest.
 
-        An answer that was started and can't be finished is left so, and
-        reaches the caller as broken off.
+        An answer that was started and cannot be finished stays incomplete,
+        which its caller sees as a broken connection.
         """
         began = trio.current_time()
         self._shared.limits.note_request(request.service.name, began)
-        ends_at = self._find_end()
+        ends_at = self._find_shutdown_time()
         start_deadline = deadlines.NO_DEADLINE
         if ends_at is not None:
             start_deadline = leaving.find_start_deadline(request, ends_at)
@@ -100,7 +102,7 @@
             try:
                 outcome = await self._serve_in_time(call, request, answer)
             finally:
-                outcome = outcome or self._name_break()
+                outcome = outcome or self._classify_cancellation()
                 took_ms = round((trio.current_time() - began) * 1000)
                 self._shared.measures.record_request(
                     request.route.name, outcome, answer.status, took_ms
@@ -113,19 +115,19 @@
                     runs=call.attempts.runs,
                     customer=request.customer and request.customer.name,
                     **{
-                        "late": _name_lateness(request.route, took_ms),
+                        "late": _classify_lateness(request.route, took_ms),
                         **call.describe_timing(),
                     },
                 )
 
-    def _name_break(self) -> str:
+    def _classify_cancellation(self) -> str:
         """Return why a request ended without a final answer.
 
-        Both ends cancel it: the caller by closing its connection, and this
-        entry as it stops with requests that outlasted its leaving. The one
-        is the caller's choice, the other a complaint.
+        A request is cancelled when its caller closes the connection, and when
+        this entry stops before the request has ended. The first is the
+        caller's choice, the second a failure of the service.
         """
-        ends_at = self._find_end()
+        ends_at = self._find_shutdown_time()
         if ends_at is not None and trio.current_time() >= ends_at:
             return "entry_stopped"
         return "caller_left"
@@ -147,7 +149,7 @@
             finally:
                 del self._running[scope]
         if scope.cancelled_caught and not answer.is_started:
-            # Nothing is known to have ended, so nothing is promised.
+            # The request may still run, so the answer makes no promise.
             is_over = request.deadline.remaining_ms() <= 0
             refusal = refusals.refuse_timeout(
                 "no answer within its time"
@@ -164,7 +166,7 @@
     def _refuse_when_leaving(
         self, request: requests.CallerRequest
     ) -> typing.Optional[refusals.Refusal]:
-        ends_at = self._find_end()
+        ends_at = self._find_shutdown_time()
         if ends_at is None:
             return None
         left_ms = (ends_at - trio.current_time()) * 1000
@@ -184,8 +186,8 @@
         refusal = refusals.refuse_not_run(
             "this entry is about to end", return_ms
         )
-        # When entries are back is known, unlike when load changes.
-        return refusal._replace(longest_retry_ms=math.inf)
+        # It is known when entries are back, unlike when load changes.
+        return refusal._replace(max_retry_after_ms=math.inf)
 
     async def _refuse(
         self,
@@ -221,7 +223,7 @@
         return plain_calls.PlainCall(self._shared, request, answer)
 
 
-def _name_lateness(route: routes.Route, took_ms: float) -> str:
-    """Return that a whole answer missed its objective, empty if it did not."""
+def _classify_lateness(route: routes.Route, took_ms: float) -> str:
+    """Return "start" if a whole answer missed its objective, else ""."""
     is_late = route.objective_ms and took_ms > route.objective_ms
     return "start" if is_late else ""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -1,11 +1,11 @@
-"""One stream, which may go on at other targets within one answer.
-
-Targets leave with two seconds of notice or none while generations of ten
-seconds run on them, and most of these may not be run again. So a generation
-moves with its memory, or goes on from a copy that a second target keeps. The
-entry holds the caller's answer all the while and decides who runs the
-generation: a target is left only once another has it, or once it has broken
-off by itself.
+"""Serves a streaming request, which may move between targets.
+
+Targets leave with two seconds of notice or none, while generations take ten
+seconds and most of them may not be run again. A generation therefore moves
+together with its memory, or continues from a copy that a backup target keeps.
+The entry keeps the caller's answer open throughout and decides which target
+runs the generation. It closes the stream of a target only once another target
+has taken the generation over, or once the stream has broken off by itself.
 """
 
 import math
@@ -26,39 +26,42 @@
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import stream_events
-from gentianpoint_entry.forwarding import stream_pace
 from gentianpoint_entry.forwarding import stream_runs
+from gentianpoint_entry.forwarding import stream_timing
 from gentianpoint_entry.forwarding import target_calls
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("StreamCall",)
 
-_MOST_RUNS: typing.Final = 16
-"""Targets that one stream may be at. Targets leave every few seconds, so a
-generation of half a minute needs several; more is a sign of a loop."""
-_HAND_OVER_MS: typing.Final = 700.0
-"""Time before a target leaves at which its generations go on from the copies
-at their backups. Answers that end by themselves end earlier."""
-_HAND_OVER_SPREAD_MS: typing.Final = 500.0
-"""Generations of one target leave it spread over this, so that they do not
-all arrive at once."""
-_OVERLAP_S: typing.Final = 0.25
-"""Time for which a generation may still be at its old target while the new
-one takes it up; a refusal comes within a few milliseconds."""
-_SILENCE: typing.Final = 6.0
-"""Times the longest good pause after which a stream goes on elsewhere. A
-preempted generation pauses for less when its prompt is read again at once."""
-_SHORTEST_SILENCE_MS: typing.Final = 900.0
-_FIRST_EVENT: typing.Final = 1.5
-"""Times the objective after which a stream that may be run again is sent to
-another target, if it has no event yet."""
-_MOVE_AGAIN_S: typing.Final = 0.2
-"""Pause before another target is asked for room for a generation."""
-_BACKUP_READY_S: typing.Final = 1.2
-"""Age of a run from which the copy at its backup can be counted on; copies
-are sent some times a second once the prompt is read."""
-
-_ENDS_OF_EVENTS: typing.Final = (
+_MAX_RUNS: typing.Final = 16
+"""Most targets that one stream may run at. Targets leave every few seconds, so
+a generation of half a minute needs several; more than this indicates a
+loop."""
+_HANDOVER_LEAD_MS: typing.Final = 700.0
+"""Time before a target leaves, in milliseconds, at which its generations
+continue from the copies at their backups. Answers that can finish without a
+handover have finished by then."""
+_HANDOVER_JITTER_MS: typing.Final = 500.0
+"""Range, in milliseconds, over which the handovers of one target's generations
+are spread, so that they do not all arrive at once."""
+_MAX_OVERLAP_S: typing.Final = 0.25
+"""Seconds for which a generation may still run at its old target while the new
+one takes it over; a refusal arrives within a few milliseconds."""
+_SILENCE_FACTOR: typing.Final = 6.0
+"""Multiple of the route's longest acceptable gap between events after which a
+silent stream continues elsewhere. The pause of a preempted generation is
+shorter if its prompt is processed again at once."""
+_MIN_SILENCE_MS: typing.Final = 900.0
+_FIRST_EVENT_FACTOR: typing.Final = 1.5
+"""Multiple of the route's objective after which a stream that may be run again
+is sent to another target, if it has no event yet."""
+_MOVE_RETRY_INTERVAL_S: typing.Final = 0.2
+"""Least number of seconds between two attempts to move a generation."""
+_BACKUP_READY_AGE_S: typing.Final = 1.2
+"""Age of a run, in seconds, from which its backup is expected to hold a copy;
+copies are sent several times a second once the prompt has been processed."""
+
+_STREAM_ERRORS: typing.Final = (
     ports.PortError,
     stream_events.EventOrderError,
     caller_answers.CallerGoneError,
@@ -77,56 +80,56 @@
     ) -> None:
         """Serve ``request`` and answer to ``answer``.
 
-        An answer that has not begun by ``start_deadline`` is given whole or
-        not at all.
+        An answer that has not begun by ``start_deadline`` is buffered, and
+        sent whole or not at all.
         """
         self._shared: typing.Final = shared
         self._request: typing.Final = request
         self._answer: typing.Final = answer
         self._start_deadline: typing.Final = start_deadline
-        self._held: typing.Final = bytearray()
+        self._buffered: typing.Final = bytearray()
         self._order: typing.Final = stream_events.EventOrder(
             request.last_event_id
         )
         self.attempts = attempts.Attempts(shared, request)
         self._move: typing.Optional[generation_moves.GenerationMove] = None
-        self._move_again_at = 0.0
-        self._has_stopped_in_vain = False
-        self._hand_over_ms: typing.Final = (
-            _HAND_OVER_MS + shared.rng.random() * _HAND_OVER_SPREAD_MS
+        self._move_retry_at = 0.0
+        self._had_no_room_after_stop = False
+        self._handover_lead_ms: typing.Final = (
+            _HANDOVER_LEAD_MS + shared.rng.random() * _HANDOVER_JITTER_MS
         )
-        self._pace: typing.Final = stream_pace.StreamPace(
+        self._timing: typing.Final = stream_timing.StreamTiming(
             request.route, shared.measures, trio.current_time()
         )
 
     async def serve(self) -> typing.Optional[refusals.Refusal]:
         """Answer the caller; return a refusal if there is no answer."""
         plan = self._plan_first()
-        for _ in range(_MOST_RUNS):
+        for _ in range(_MAX_RUNS):
             if plan is None:
                 break
             run = await self._open(plan)
             if run is None:
-                plan = self._plan_other()
+                plan = self._plan_retry()
                 continue
             if run.answer.status >= 300:
-                return await self._pass_on_failure(run)
-            last = await self._follow_runs(run)
-            if last is None:
+                return await self._forward_failure(run)
+            broken = await self._forward_runs(run)
+            if broken is None:
                 return None
-            plan = self._plan_after_break(last)
+            plan = self._plan_after_break(broken)
         return self._give_up()
 
     def describe_timing(self) -> dict[str, typing.Any]:
-        """Return the number of events and the longest pause."""
-        return self._pace.describe()
+        """Return the number of events and their timing."""
+        return self._timing.describe()
 
     def _give_up(self) -> typing.Optional[refusals.Refusal]:
         return self.attempts.give_up(
             self._answer, "the stream broke off before its first event"
         )
 
-    # Where it runs.
+    # Planning of runs.
 
     def _plan_first(self) -> typing.Optional[stream_runs.RunPlan]:
         target = self._shared.choose_target(self._request)
@@ -134,25 +137,27 @@
             return None
         return self._plan(target, requests.SendOptions())
 
-    def _plan_other(self) -> typing.Optional[stream_runs.RunPlan]:
-        """Plan a run of its own after one that failed or was refused."""
+    def _plan_retry(self) -> typing.Optional[stream_runs.RunPlan]:
+        """Plan a new run after one that failed or was refused."""
         if not self.attempts.may_send_again():
             return None
         target = self._shared.choose_target(self._request, self.attempts.tried)
         if target is None or not self._shared.take_retry(self._request):
             return None
-        options = requests.SendOptions(last_event_id=self._find_last())
+        options = requests.SendOptions(
+            last_event_id=self._format_last_event_id()
+        )
         return self._plan(target, options)
 
     def _plan_after_break(
         self, run: stream_runs.StreamRun
     ) -> typing.Optional[stream_runs.RunPlan]:
-        """Plan how the stream goes on after its target broke off."""
+        """Plan how the stream continues after its target broke off."""
         backup = run.backup
         if backup is not None and not backup.is_gone:
             self._log_move(run.target, backup, "backup after a break")
             return self._plan_from_backup(backup)
-        return self._plan_other()
+        return self._plan_retry()
 
     def _plan_from_backup(self, backup: targets.Target) -> stream_runs.RunPlan:
         copy = requests.MemoryCopy(
@@ -163,17 +168,17 @@
     def _plan_from_copy(
         self, target: targets.Target, copy: requests.MemoryCopy
     ) -> stream_runs.RunPlan:
-        last = self._find_last() or "0"
+        last = self._format_last_event_id() or "0"
         options = requests.SendOptions(copy=copy, last_event_id=last)
         return self._plan(target, options)
 
     def _plan(
         self, target: targets.Target, options: requests.SendOptions
     ) -> stream_runs.RunPlan:
-        """Plan a run, with a second target that keeps a copy if need be."""
+        """Plan a run, with a backup target if the generation needs one."""
         engine = self._request.service.engine
         backup = None
-        # Where a stream may run again, that costs less than copies that are
+        # Running a repeatable stream again costs less than copies that are
         # seldom used.
         may_repeat = self._request.route.may_repeat()
         if engine is not None and engine.can_back_up and not may_repeat:
@@ -183,15 +188,15 @@
             options = options._replace(backup_address=address)
         return stream_runs.RunPlan(target, options, backup)
 
-    def _find_last(self) -> str:
+    def _format_last_event_id(self) -> str:
         return "" if self._order.last is None else str(self._order.last)
 
-    # One run.
+    # Execution of runs.
 
     async def _open(
         self, plan: stream_runs.RunPlan
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Start a run; None when the target did not take the request."""
+        """Start a run; return None if the target did not accept it."""
         self.attempts.tried.add(plan.target.target_id)
         is_same_run = plan.options.copy is not None
         run = stream_runs.StreamRun(self._shared, self._request, plan)
@@ -207,71 +212,73 @@
             await run.close()
             return None
         if is_same_run and run.answer.status >= 300:
-            # A failure where events should go on: its text is none of them.
+            # The target failed instead of continuing the stream, and its error
+            # text is not part of the events.
             self._shared.note_failure(plan.target, run.make_status_error())
             await run.close()
             return None
         self.attempts.note_run(is_same_run=is_same_run)
         return run
 
-    async def _follow_runs(
+    async def _forward_runs(
         self, run: stream_runs.StreamRun
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Pass events on, from run to run as targets leave.
+        """Forward events to the caller, from run to run as targets leave.
 
-        Returns None when the stream is complete, else the run that broke
-        off, which is closed.
+        Returns None when the stream is complete, else the run that broke off,
+        which is closed.
         """
         current: typing.Optional[stream_runs.StreamRun] = run
         while current is not None:
             run = current
             try:
-                current = await self._follow(run)
+                current = await self._forward_run(run)
             except ports.PortError as error:
                 self._shared.note_failure(run.target, error)
                 return run
             except stream_events.EventOrderError as error:
-                self._log_disorder(run, error)
+                self._log_order_error(run, error)
                 return run
             finally:
                 self._end_move()
                 await run.close()
-        await self._end(run)
+        await self._finish_answer(run)
         return None
 
-    async def _follow(
+    async def _forward_run(
         self, run: stream_runs.StreamRun
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Pass on a run's events; return the next run, or None at the end."""
+        """Forward a run's events; return the next run, or None at the end."""
         failure: typing.Optional[Exception] = run.make_silence_error()
         following = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._end_when_silent, run, nursery)
+            nursery.start_soon(self._cancel_when_silent, run, nursery)
             try:
-                following = await self._pass_on_events(run, nursery)
+                following = await self._forward_events(run, nursery)
                 failure = None
-            except _ENDS_OF_EVENTS as error:
-                # Raised below, since a nursery wraps what passes through.
+            except _STREAM_ERRORS as error:
+                # Raised below: a nursery would wrap it in an exception group.
                 failure = error
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
         if following is None:
             self._shared.note_success(run.target)
-        self._free_copies(run, following)
+        self._release_copies(run, following)
         return following
 
-    def _free_copies(
+    def _release_copies(
         self,
         run: stream_runs.StreamRun,
         following: typing.Optional[stream_runs.StreamRun],
     ) -> None:
-        """Free copies that nobody will use: they take room from others.
+        """Release copies that will not be used, since they occupy memory.
 
-        The backup's copy frees itself when the run ends well, and is used
-        when the run goes on there; after a move elsewhere it is left over.
+        The backup's copy is released without a call when the run ends
+        normally, and used when the run continues there. After a move to
+        another target it is left over.
         """
-        unused = "" if self._move is None else self._move.take_unused()
+        unused = "" if self._move is None else self._move.take_unused_handle()
         if unused:
             self._shared.schedule_copy_release(run.target, unused)
         if following is not None and run.backup is not None:
@@ -279,75 +286,80 @@
                 run.backup, self._request.request_id
             )
 
-    async def _end_when_silent(
+    async def _cancel_when_silent(
         self, run: stream_runs.StreamRun, nursery: trio.Nursery
     ) -> None:
-        await run.watch_silence(self._find_silence_ms)
+        await run.wait_until_silent(self._find_silence_limit_ms)
         nursery.cancel_scope.cancel()
 
-    def _find_silence_ms(self, run: stream_runs.StreamRun) -> float:
-        """Return the silence after which a run is given up.
+    def _find_silence_limit_ms(self, run: stream_runs.StreamRun) -> float:
+        """Return the silence after which a run is abandoned, in milliseconds.
 
-        A target whose host stands still is as silent as one that has died,
-        and goes on with the generation when it wakes; one that has left the
-        list may serve on for seconds. Taken up elsewhere meanwhile, one
-        generation would be worked on twice. So only streams that may run
-        again are given up for a silence; for others their target's end or
-        the caller's deadline ends the wait.
+        A target whose host is suspended is as silent as one that has died, but
+        continues the generation when the host resumes. A target that was
+        removed from the list may also serve on for seconds. If the generation
+        continued elsewhere meanwhile, two targets would work on it. So only
+        streams that may be run again are abandoned because of silence. The
+        others wait until their target closes the stream or the caller's
+        deadline passes.
         """
         if not self.attempts.may_run_again():
             return math.inf
         route = self._request.route
         if not run.has_events:
-            return route.objective_ms * _FIRST_EVENT
+            return route.objective_ms * _FIRST_EVENT_FACTOR
         if not run.target.is_gone:
             return math.inf
-        return max(_SHORTEST_SILENCE_MS, route.gap_objective_ms * _SILENCE)
+        return max(_MIN_SILENCE_MS, route.gap_objective_ms * _SILENCE_FACTOR)
 
-    async def _pass_on_events(
+    async def _forward_events(
         self, run: stream_runs.StreamRun, nursery: trio.Nursery
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Pass on events until the end, or until another run goes on."""
+        """Forward events until the end, or until another run takes over."""
         async for event in run.iterate_events():
-            await self._pass_on(run, event)
+            await self._forward_event(run, event)
             following = await self._hand_over(run, nursery)
             if following is not None:
                 return following
         return None
 
-    async def _pass_on(
+    async def _forward_event(
         self, run: stream_runs.StreamRun, event: stream_events.StreamEvent
     ) -> None:
-        if not self._order.take(event):
+        if not self._order.accept(event):
             return
-        self._pace.note_event(trio.current_time())
+        self._timing.note_event(trio.current_time())
         if not self._answer.is_started:
             if self._start_deadline.is_past():
-                self._held.extend(event.data)
+                self._buffered.extend(event.data)
                 return
             await self._answer.start(run.answer.status, run.answer.headers)
         await self._answer.send(event.data)
 
-    async def _end(self, run: stream_runs.StreamRun) -> None:
-        if self._held:
+    async def _finish_answer(self, run: stream_runs.StreamRun) -> None:
+        if self._buffered:
             await self._answer.send_whole(
-                run.answer.status, run.answer.headers, bytes(self._held)
+                run.answer.status, run.answer.headers, bytes(self._buffered)
             )
             return
         if not self._answer.is_started:
             await self._answer.start(run.answer.status, run.answer.headers)
         await self._answer.finish()
 
-    async def _pass_on_failure(
+    async def _forward_failure(
         self, run: stream_runs.StreamRun
     ) -> typing.Optional[refusals.Refusal]:
-        """Give the target's own failure on, if the caller has nothing yet."""
+        """Forward the target's error answer if the caller has nothing yet."""
         try:
             if self._answer.is_started:
                 return None
-            got: target_calls.TargetAnswer = run.answer
-            body = b"".join([chunk async for chunk in got.receive_body()])
-            await self._answer.send_whole(got.status, got.headers, body)
+            target_answer: target_calls.TargetAnswer = run.answer
+            body = b"".join(
+                [chunk async for chunk in target_answer.receive_body()]
+            )
+            await self._answer.send_whole(
+                target_answer.status, target_answer.headers, body
+            )
         except ports.PortError as error:
             self._shared.note_failure(run.target, error)
             return self._give_up()
@@ -355,7 +367,7 @@
             await run.close()
         return None
 
-    # Leaving a target.
+    # Handover to another target.
 
     async def _hand_over(
         self, run: stream_runs.StreamRun, nursery: trio.Nursery
@@ -363,76 +375,77 @@
         """Return a run elsewhere if the target leaves, else None."""
         target = run.target
         if target.takes_work() or self._request.route.may_repeat():
-            # A stream that may be run again goes on after the break.
+            # A stream that may be run again is run again once it breaks off.
             return None
-        left_ms = _find_left_ms(target)
-        is_due = left_ms is None or left_ms <= self._hand_over_ms
+        left_ms = _find_time_left_ms(target)
+        is_due = left_ms is None or left_ms <= self._handover_lead_ms
         if self._has_backup(run):
-            # The copy is there already; a move would only keep the links
-            # from generations that have none.
-            return await self._go_on_at_backup(run) if is_due else None
+            # The backup already has a copy. A move would occupy links that
+            # generations without a copy need.
+            return await self._continue_at_backup(run) if is_due else None
         engine = self._request.service.engine
         if engine is not None and engine.can_move:
-            return await self._move_on(run, nursery, engine)
+            return await self._advance_move(run, nursery, engine)
         return None
 
     def _has_backup(self, run: stream_runs.StreamRun) -> bool:
-        """Tell whether the copy at the backup can be counted on."""
+        """Tell whether the backup can be expected to hold a copy."""
         if run.backup is None or not run.backup.takes_work():
             return False
-        return trio.current_time() - run.began_at >= _BACKUP_READY_S
+        return trio.current_time() - run.began_at >= _BACKUP_READY_AGE_S
 
-    async def _go_on_at_backup(
+    async def _continue_at_backup(
         self, run: stream_runs.StreamRun
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Let the backup take the generation up; None if it refuses.
+        """Continue the generation at the backup; return None if it refuses.
 
-        The old target is left once the new one has taken it, or has had
-        time to refuse, so a refusal loses nothing.
+        The old target's stream is closed once the backup has accepted the
+        generation or has had time to refuse it, so a refusal loses nothing.
         """
         backup = run.backup
         assert backup is not None
         run.backup = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_close_after, run, _OVERLAP_S)
+            nursery.start_soon(_close_after, run, _MAX_OVERLAP_S)
             following = await self._open(self._plan_from_backup(backup))
             nursery.cancel_scope.cancel()
         if following is not None:
             self._log_move(run.target, backup, "backup")
         return following
 
-    async def _move_on(
+    async def _advance_move(
         self,
         run: stream_runs.StreamRun,
         nursery: trio.Nursery,
         engine: routes.EngineShape,
     ) -> typing.Optional[stream_runs.StreamRun]:
-        """Copy the memory ahead; once it is there, go on from it."""
-        if self._has_stopped_in_vain:
-            # Each stop is a pause, and the last one found no room.
+        """Copy the memory while the generation runs, then switch targets."""
+        if self._had_no_room_after_stop:
+            # Each stop pauses the stream, and the destination of the last one
+            # had no room.
             return None
         now = trio.current_time()
         if self._move is not None and self._move.has_failed():
-            if now < self._move_again_at:
+            if now < self._move_retry_at:
                 return None
             self._move = None
         if self._move is None:
-            self._move_again_at = now + _MOVE_AGAIN_S
+            self._move_retry_at = now + _MOVE_RETRY_INTERVAL_S
             self._move = self._start_move(run.target, nursery, engine)
             return None
         if not self._move.is_ready():
             return None
         stopped = await self._move.stop_and_copy()
-        # The links are free for the next one while this one is taken up.
-        self._move.end()
+        # Lets the next move use the links while this generation is taken over.
+        self._move.release_turn()
         if stopped is None:
-            # It runs on where it is, or its stream breaks off.
+            # The generation continues at its source, or its stream breaks off.
             return None
-        self._has_stopped_in_vain = not stopped.is_there
-        ways = [run.target]
-        if stopped.is_there and self._move.destination is not None:
-            ways.insert(0, self._move.destination)
-        for target in ways:
+        self._had_no_room_after_stop = not stopped.is_at_destination
+        candidates = [run.target]
+        if stopped.is_at_destination and self._move.destination is not None:
+            candidates.insert(0, self._move.destination)
+        for target in candidates:
             plan = self._plan_from_copy(target, stopped.copy)
             following = await self._open(plan)
             if following is not None:
@@ -447,7 +460,7 @@
         engine: routes.EngineShape,
     ) -> generation_moves.GenerationMove:
         def count_memory() -> int:
-            made = self._pace.events * engine.event_tokens
+            made = self._timing.events * engine.event_tokens
             return self._request.prompt_tokens + made
 
         move = generation_moves.GenerationMove(
@@ -458,12 +471,12 @@
             engine,
             count_memory,
         )
-        nursery.start_soon(move.copy_ahead)
+        nursery.start_soon(move.precopy)
         return move
 
     def _end_move(self) -> None:
         if self._move is not None:
-            self._move.end()
+            self._move.release_turn()
             self._move = None
 
     # Log lines.
@@ -477,12 +490,12 @@
             source=source.target_id,
             target=destination.target_id,
             way=way,
-            after_event=self._find_last(),
-            source_leaves_in_ms=_find_left_ms(source),
+            after_event=self._format_last_event_id(),
+            source_leaves_in_ms=_find_time_left_ms(source),
             source_is_gone=source.is_gone,
         )
 
-    def _log_disorder(
+    def _log_order_error(
         self,
         run: stream_runs.StreamRun,
         error: stream_events.EventOrderError,
@@ -498,13 +511,13 @@
 
 
 async def _close_after(run: stream_runs.StreamRun, wait_s: float) -> None:
-    """Leave a target whose generation another one has had time to refuse."""
+    """Close a run once another target has had time to refuse it."""
     await trio.sleep(wait_s)
     await run.close()
 
 
-def _find_left_ms(target: targets.Target) -> typing.Optional[int]:
-    """Return the time until a target leaves; None when it is not known."""
+def _find_time_left_ms(target: targets.Target) -> typing.Optional[int]:
+    """Return the milliseconds until a target leaves; None if unknown."""
     if target.leaves_at is None:
         return None
     return target.leaves_at.remaining_ms()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_events.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_events.py
@@ -1,8 +1,8 @@
-"""Events of a stream, one by one, and whether they follow each other.
+"""Splits a stream into events and checks that they follow each other.
 
-A target may break off in the middle of an event, repeat events after a
-resume, or leave some out. Callers must get each event once, whole and in
-order, so bytes are passed on only as whole events whose numbers follow.
+A target may break off in the middle of an event, repeat events after a resume,
+or skip some. Callers must get each event once, whole and in order, so bytes
+are forwarded only as whole events whose numbers follow each other.
 """
 
 from collections import abc
@@ -12,43 +12,45 @@
 __all__ = ("EventOrder", "EventOrderError", "StreamEvent", "split_events")
 
 _EVENT_END: typing.Final = re.compile(rb"\n\n|\r\n\r\n")
-_MOST_EVENT_BYTES: typing.Final = 1 << 20
-"""Longest event that is held until its end; far above any real one."""
-_MOST_DIGITS: typing.Final = 18
-"""Digits of the longest identifier that counts as a number. Python reads no
-number of thousands of digits."""
+_MAX_EVENT_BYTES: typing.Final = 1 << 20
+"""Longest event, in bytes, that is buffered until its end; real events are far
+shorter."""
+_MAX_ID_DIGITS: typing.Final = 18
+"""Most digits of an identifier that is parsed as a number. Python refuses to
+parse numbers of thousands of digits."""
 
 
 class StreamEvent(typing.NamedTuple):
-    """One event as it came."""
+    """One event as it was received."""
 
     data: bytes
-    """Its bytes, with the blank line that ends it."""
+    """Its bytes, including the blank line that ends it."""
     number: typing.Optional[int]
     """Its identifier, if it has one that is a number."""
 
 
 class EventOrderError(Exception):
-    """An event does not follow the one before."""
+    """An event does not follow the one before, or does not end."""
 
 
 async def split_events(
     chunks: abc.AsyncIterator[bytes],
 ) -> abc.AsyncIterator[StreamEvent]:
-    """Yield whole events; what is left over at the end is one too.
+    """Yield whole events; bytes left over at the end count as one.
 
-    An error of ``chunks`` goes through, and the unfinished event with it.
+    If ``chunks`` raises, the error is passed on and the unfinished event is
+    dropped.
     """
-    held = b""
+    buffered = b""
     async for chunk in chunks:
-        held += chunk
-        while end := _EVENT_END.search(held):
-            data, held = held[: end.end()], held[end.end() :]
+        buffered += chunk
+        while end := _EVENT_END.search(buffered):
+            data, buffered = buffered[: end.end()], buffered[end.end() :]
             yield StreamEvent(data, _read_number(data))
-        if len(held) > _MOST_EVENT_BYTES:
-            raise EventOrderError("an event has no end")
-    if held:
-        yield StreamEvent(held, _read_number(held))
+        if len(buffered) > _MAX_EVENT_BYTES:
+            raise EventOrderError("an event exceeds the size limit")
+    if buffered:
+        yield StreamEvent(buffered, _read_number(buffered))
 
 
 def _read_number(data: bytes) -> typing.Optional[int]:
@@ -59,24 +61,24 @@
 
 
 def _parse_number(text: bytes) -> typing.Optional[int]:
-    # Digits of bytes are those of ASCII; a text has many others.
-    is_number = text.isdigit() and len(text) <= _MOST_DIGITS
+    # In bytes only ASCII characters are digits; in a str many others are.
+    is_number = text.isdigit() and len(text) <= _MAX_ID_DIGITS
     return int(text) if is_number else None
 
 
 class EventOrder:
-    """Follows the numbers of the events that a caller has been given."""
+    """Checks the numbers of the events that a caller is given."""
 
     def __init__(self, last_event_id: str) -> None:
-        """Start after the event that the caller has already, if any."""
+        """Start after the last event that the caller has already, if any."""
         self.last = _parse_number(last_event_id.encode())
         self._step: typing.Optional[int] = None
 
-    def take(self, event: StreamEvent) -> bool:
-        """Tell whether an event is new; False for one that was given before.
+    def accept(self, event: StreamEvent) -> bool:
+        """Tell whether an event is new; False for one given before.
 
-        Raises :class:`EventOrderError` when events are missing before it.
-        The step between numbers is learned from the first two.
+        Raises :class:`EventOrderError` when events are missing before it. The
+        step between numbers is learned from the first two.
         """
         if event.number is None:
             return True
@@ -90,7 +92,7 @@
             self._step = step
         if step != self._step:
             raise EventOrderError(
-                f"event {event.number} after {self.last}, steps of"
+                f"event {event.number} follows {self.last}, expected steps of"
                 f" {self._step}"
             )
         self.last = event.number
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
@@ -1,4 +1,4 @@
-"""One run of a stream at one target, from its sending to its end."""
+"""One run of a stream at one target, from sending the request to its end."""
 
 from collections import abc
 import contextlib
@@ -15,8 +15,8 @@
 
 __all__ = ("RunPlan", "StreamRun")
 
-_LOOK_S: typing.Final = 0.1
-"""Pause between looks at how long a run has been silent."""
+_POLL_INTERVAL_S: typing.Final = 0.1
+"""Seconds between checks of how long a run has been silent."""
 
 
 class RunPlan(typing.NamedTuple):
@@ -25,13 +25,13 @@
     target: targets.Target
     """Target that gets the request."""
     options: requests.SendOptions
-    """What it is told beside the request."""
+    """What the target is told besides the request."""
     backup: typing.Optional[targets.Target]
-    """Target that keeps a copy of the memory; None for none."""
+    """Target that keeps a copy of the memory, None without one."""
 
 
 class StreamRun:
-    """A request that was sent to one target, and its answer."""
+    """A request that is sent to one target, and its answer."""
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         self.backup = plan.backup
         self.began_at = trio.current_time()
         self.has_events = False
-        self._heard_at = self.began_at
+        self._last_data_at = self.began_at
         self._shared: typing.Final = shared
         self._request: typing.Final = request
         self._options: typing.Final = plan.options
         self._stack: typing.Final = contextlib.AsyncExitStack()
         self._answer: typing.Optional[target_calls.TargetAnswer] = None
-        self._is_counted = False
+        self._has_pending_prompt = False
 
     @property
     def answer(self) -> target_calls.TargetAnswer:
@@ -59,12 +59,12 @@
         return self._answer
 
     async def open(self) -> None:
-        """Send the request and wait for the answer's head.
+        """Send the request and wait for the head of the answer.
 
-        Raises :class:`ports.PortError`, also for an answer that is no
-        answer of the target.
+        Raises :class:`ports.PortError`, also for an answer that may not be
+        forwarded to the caller.
         """
-        self._count_prompt()
+        self._add_pending_prompt()
         try:
             self._answer = await self._stack.enter_async_context(
                 self._shared.send(self.target, self._request, self._options)
@@ -75,21 +75,21 @@
             raise
 
     def _check_answer(self, answer: target_calls.TargetAnswer) -> None:
-        if not answer.is_refusal() and not answer.may_pass_on():
+        if not answer.is_refusal() and not answer.may_forward():
             raise self.make_status_error()
 
     def make_status_error(self) -> ports.PortError:
-        """Return the error of an answer whose status can't be passed on."""
+        """Return the error for an answer whose status cannot be forwarded."""
         return ports.PortError(
             "receive answer",
             self.target.entry.address,
-            f"status {self.answer.status} is not what is asked for",
+            f"unexpected status {self.answer.status}",
             took_effect=True,
         )
 
     async def close(self) -> None:
-        """End the run; a target that still works on it stops."""
-        self._count_prompt_read()
+        """End the run, which stops a target that still works on it."""
+        self._remove_pending_prompt()
         with trio.CancelScope(shield=True):
             await self._stack.aclose()
 
@@ -97,43 +97,43 @@
         self,
     ) -> abc.AsyncIterator[stream_events.StreamEvent]:
         """Yield events; raises :class:`ports.PortError` at a break."""
-        chunks = self._note_chunks()
+        chunks = self._receive_chunks()
         async for event in stream_events.split_events(chunks):
             self.has_events = True
-            self._count_prompt_read()
+            self._remove_pending_prompt()
             yield event
 
-    async def _note_chunks(self) -> abc.AsyncIterator[bytes]:
+    async def _receive_chunks(self) -> abc.AsyncIterator[bytes]:
         async for chunk in self.answer.receive_body():
-            self._heard_at = trio.current_time()
+            self._last_data_at = trio.current_time()
             yield chunk
 
-    async def watch_silence(
+    async def wait_until_silent(
         self, find_limit_ms: abc.Callable[["StreamRun"], float]
     ) -> None:
         """Return once the run has been silent for longer than the limit."""
         while True:
-            await trio.sleep(_LOOK_S)
-            quiet_ms = (trio.current_time() - self._heard_at) * 1000
-            if quiet_ms > find_limit_ms(self):
+            await trio.sleep(_POLL_INTERVAL_S)
+            silent_ms = (trio.current_time() - self._last_data_at) * 1000
+            if silent_ms > find_limit_ms(self):
                 return
 
     def make_silence_error(self) -> ports.PortError:
-        """Return the error of a run that was silent for too long."""
+        """Return the error for a run that was silent for too long."""
         return ports.PortError(
             "receive event",
             self.target.entry.address,
-            "the stream is silent",
+            "no data within the limit on silence",
             took_effect=True,
         )
 
-    def _count_prompt(self) -> None:
-        """Count the prompt as work that the target has still to do."""
+    def _add_pending_prompt(self) -> None:
+        """Add the prompt to those that the target has yet to process."""
         if self._options.copy is None:
-            self._is_counted = True
+            self._has_pending_prompt = True
             self.target.unread_prompt_tokens += self._request.prompt_tokens
 
-    def _count_prompt_read(self) -> None:
-        if self._is_counted:
-            self._is_counted = False
+    def _remove_pending_prompt(self) -> None:
+        if self._has_pending_prompt:
+            self._has_pending_prompt = False
             self.target.unread_prompt_tokens -= self._request.prompt_tokens
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
@@ -1,4 +1,4 @@
-"""What forwarding asks of targets."""
+"""The calls to targets that forwarding relies on."""
 
 import abc
 from collections import abc as collections_abc
@@ -10,50 +10,58 @@
 
 __all__ = ("CopyResult", "TargetAnswer", "TargetCalls")
 
-_PROMISES: typing.Final = frozenset((408, 421, 429, 503))
-"""Statuses by which callers take a request as never run."""
+_NOT_EXECUTED_STATUSES: typing.Final = frozenset((408, 421, 429, 503))
+"""Statuses that tell callers that a request was not executed and never will
+be."""
 
 
 class TargetAnswer(abc.ABC):
-    """The answer of a target, whose body is still to come."""
+    """The answer of a target, whose body has yet to arrive."""
 
     status: int
     """HTTP status."""
     headers: collections_abc.Sequence[tuple[bytes, bytes]]
-    """Headers for the caller, without those of one connection."""
+    """Headers for the caller, without hop-by-hop headers."""
     has_not_run: bool
-    """True when the target says that the request has not run there."""
+    """True when the target says that it has not run the request."""
     is_wrong_target: bool
-    """True when another target has the address now; nothing has run."""
+    """True when another target has the address now, so that nothing has
+    run."""
     has_server_seal: bool
-    """True when the target's mark is on it; a success without is none."""
+    """True when the answer bears the target's seal, without which a success
+    does not count."""
     retry_after_ms: float
-    """When the target says to come back; 0 for nothing said."""
+    """Milliseconds after which the target asks to be tried again, 0 if it does
+    not say."""
 
     def is_refusal(self) -> bool:
-        """Tell whether the request has surely not run at the target."""
+        """Tell whether the request has certainly not run at the target."""
         return self.has_not_run or self.is_wrong_target
 
-    def may_pass_on(self) -> bool:
+    def may_forward(self) -> bool:
         """Tell whether a caller may be given this status.
 
-        Not without the target's mark, and none that promises that the
-        request never runs where the target does not say so.
+        The answer needs the target's seal. A status that says that the request
+        never runs may not be forwarded, since the target itself does not say
+        so.
         """
-        return self.has_server_seal and self.status not in _PROMISES
+        return (
+            self.has_server_seal and self.status not in _NOT_EXECUTED_STATUSES
+        )
 
     @abc.abstractmethod
     def receive_body(self) -> collections_abc.AsyncIterator[bytes]:
-        """Yield the body; raises ``ports.PortError`` when it breaks off."""
+        """Yield the body; raises ``ports.PortError`` if it breaks off."""
 
 
 class CopyResult(typing.NamedTuple):
     """A generation's memory, as copied to another target."""
 
     handle: str
-    """Name of the copy at the source; empty when none was made."""
+    """Name of the copy at the source; empty if none was made."""
     is_complete: bool
-    """False when the other target had no room, and the source kept it."""
+    """False if the other target had no room, and the source kept the
+    memory."""
 
 
 class TargetCalls(abc.ABC):
@@ -66,10 +74,10 @@
         request: requests.CallerRequest,
         options: requests.SendOptions,
     ) -> typing.AsyncContextManager[TargetAnswer]:
-        """Send a request, and give out its answer once the head is there.
+        """Send a request and yield its answer once the head has arrived.
 
-        Raises ``ports.PortError``, with ``took_effect`` False only when not
-        a byte was sent. Leaving the context early makes the target stop.
+        Raises ``ports.PortError``, with ``took_effect`` False only if not a
+        byte was sent. Leaving the context early makes the target stop.
         """
 
     @abc.abstractmethod
@@ -84,22 +92,23 @@
     ) -> CopyResult:
         """Copy a generation's memory to another target.
 
-        Called again, it copies only what is new. With ``stops_first`` the
-        generation is stopped before the copy, and its stream ends without
-        being complete; without, it goes on. Raises ``ports.PortError``; with
-        ``stops_first`` the generation may have stopped by then.
+        Called again, it copies only what was added since. With ``stops_first``
+        the generation is stopped before the copy, and its stream ends
+        incomplete; otherwise the generation continues. Raises
+        ``ports.PortError``, after which a generation may have been stopped
+        with ``stops_first``.
         """
 
     @abc.abstractmethod
     async def free_copy(self, target: targets.Target, name: str) -> None:
-        """Free a copy that nobody will use; raises ``ports.PortError``.
+        """Free a copy that will not be used; raises ``ports.PortError``.
 
-        ``name`` is the handle of a move, asked at its source, or the
-        identifier of a request, asked at its backup.
+        ``name`` is the handle of a move, freed at its source, or the
+        identifier of a request, freed at its backup.
         """
 
     @abc.abstractmethod
     def close_unlisted(
         self, listed: collections_abc.Collection[targets.Target]
     ) -> None:
-        """Close what is kept for targets that are no longer listed."""
+        """Close the connections to targets that are no longer listed."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
@@ -1,13 +1,15 @@
-"""Which target gets a request, and which keeps a copy of its memory.
-
-The load it answers: long prompts delay the tokens of all that runs beside
-them, engines' memory fills up in the middle of generations, reports are old
-when they come, and several entries see the same ones. If all of them took the
-best target, what they send in the age of a report would go to that one. So
-the requests that others are likely to have sent meanwhile are laid on the best
-targets first, as they would be, and a target is drawn by its part of them:
-with fresh reports or few requests that is the best one, else it is one of
-several that are nearly as good.
+"""Selects the target of a request and the target that keeps its copy.
+
+Long prompts delay the tokens of everything that runs beside them, and engines
+run out of memory in the middle of generations. Reports are old when they
+arrive, and several entries act on the same ones. If each entry chose the best
+target, that target would receive everything that is sent within the age of a
+report.
+
+So the requests that other entries have probably sent since the reports are
+distributed over the best targets first, by water-filling, and a target is
+drawn with its share of them as weight. With fresh reports or few requests that
+is the best target, otherwise one of several that are nearly as good.
 """
 
 from collections import abc
@@ -26,52 +28,57 @@
     "score_target",
 )
 
-_FAILURE_MEMORY_S: typing.Final = 3.0
-"""Time for which a failure counts against a target. Shorter than the usual
-span of a fault, so that the target is tried again while it lasts, with one
+_FAILURE_WINDOW_S: typing.Final = 3.0
+"""Seconds for which a failure counts against a target. Shorter than a usual
+fault, so that the target is tried again while the fault lasts, with one
 request in many."""
 _FAILURE_COST: typing.Final = 2.0
-"""A failure weighs like two times all slots taken."""
+"""Score of one failure, equal to twice that of all slots taken."""
 _SILENT_COST: typing.Final = 10.0
-"""An engine that does not answer its own agent is the last choice, but still
-one: the agent may be at fault."""
+"""Score of an engine that does not answer its own agent. It is the last choice
+but still one, since the agent may be at fault."""
 _SLOW_COST: typing.Final = 0.5
-"""A target that has just started weighs like half of its slots taken."""
+"""Score of a target that has just started, equal to half of its slots
+taken."""
 _DISTANCE_COST: typing.Final = 0.08
-"""Another data centre weighs like a twelfth of the slots taken: bytes between
-them are priced, and a request there takes some milliseconds more."""
+"""Score of a target in another data centre, equal to a twelfth of the slots
+taken. Traffic between data centres is billed, and a request there takes some
+milliseconds more."""
 _LOST_GENERATION_COST: typing.Final = 1.0
-"""A generation that is left behind weighs like all slots taken. Its loss is
-certain, while those that crowd another target are only lost if that one gets
-notice too."""
-FAR_FACTOR: typing.Final = 2.0
-"""Times that a copy of memory takes longer between data centres."""
+"""Score of a generation that is left behind, equal to all slots taken. Its
+loss is certain, while generations that overload another target are lost only
+if that target gets notice too."""
+DISTANCE_COPY_FACTOR: typing.Final = 2.0
+"""Factor by which copying memory takes longer between data centres."""
 _MEMORY_OVERFLOW_COST: typing.Final = 4.0
-"""Memory that would overflow leads to preemption, which costs more than any
-wait behind others."""
+"""Score of a request that would overflow the memory. That leads to preemption,
+which costs more than waiting behind other requests."""
 _UNREAD_TOKENS_SCALE: typing.Final = 7000.0
-"""Unread prompt tokens that weigh like all slots taken: at fourteen tokens a
-millisecond, half of a second before the next first token."""
+"""Unread prompt tokens that score like all slots taken. At fourteen tokens a
+millisecond they delay the next first token by half a second."""
 MAX_USED_SHARE_FOR_BACKUPS: typing.Final = 0.4
-"""Share of a target's memory up to which it takes copies of generations that
-may never be needed; the rest is for what runs there or moves there."""
-CALM_S: typing.Final = 10.0
-"""Time without any notice after which generations are backed up. Where
-engines are given notice every few seconds, moves save more than backups do,
-which take the links and the memory that moves need. Three notices that come
-as often as there fall into this time."""
+"""Share of a target's memory up to which it accepts copies of generations that
+may never be needed. The rest is for generations that run there or move
+there."""
+BACKUP_QUIET_PERIOD_S: typing.Final = 10.0
+"""Seconds without any notice after which generations are backed up. Where
+engines get notice every few seconds, moves save more than backups do, which
+take the links and the memory that moves need. Three notices at that rate fall
+into this period."""
 _RUNNING_SCALE: typing.Final = 6.0
-"""Running generations that weigh like all of the memory taken. They leave
+"""Running generations that score like all of the memory used. They leave
 together, and only some of them can be moved in time."""
 MAX_USED_SHARE_FOR_MOVES: typing.Final = 0.95
-"""Share up to which a target takes generations that would else be lost."""
+"""Share of a target's memory up to which it accepts generations that would
+otherwise be lost."""
 _RESERVED_DESTINATION_COST: typing.Final = 3.0
-"""A destination of another leaving target is taken only before one that is
-full: the copies of both would wait for each other on its link."""
+"""Score of a destination that is assigned to another leaving target. It is
+preferred only to one that is full, since the copies of both targets would
+queue on its link."""
 _TIE_BREAK_NOISE: typing.Final = 0.02
-"""Breaks ties between equals."""
-_REQUEST_COST: typing.Final = 0.05
-"""What a request of a plain service adds to its target's score, at least."""
+"""Upper bound of the random score that breaks ties between equal targets."""
+_PLAIN_REQUEST_COST: typing.Final = 0.05
+"""Least score that a request of a plain service adds to its target."""
 
 
 def score_target(
@@ -80,31 +87,31 @@
     data_centre: str,
     entry_count: int,
     now: float,
-    far_cost: float = _DISTANCE_COST,
+    distance_cost: float = _DISTANCE_COST,
 ) -> float:
-    """Return how bad a choice a target is; 0 is an idle one near by."""
+    """Return how loaded a target is; 0 is an idle one in ``data_centre``."""
     score = 0.0
     if target.entry.data_centre != data_centre:
-        score += far_cost
+        score += distance_cost
     if now < target.slow_until:
         score += _SLOW_COST
-    if target.failures and now - target.failed_at < _FAILURE_MEMORY_S:
+    if target.failures and now - target.failed_at < _FAILURE_WINDOW_S:
         score += _FAILURE_COST * min(3, target.failures)
     if target.report is not None and target.report.is_silent:
         score += _SILENT_COST
     score += _score_slots(target, entry_count)
     if request.service.engine is not None:
-        score += _count_unread(target) / _UNREAD_TOKENS_SCALE
+        score += _count_unread_tokens(target) / _UNREAD_TOKENS_SCALE
         score += _score_memory(target, request, entry_count)
         score += _count_running(target) / _RUNNING_SCALE
     return score
 
 
-def _count_unread(target: targets.Target) -> int:
-    """Return the prompt tokens that an engine has still to read.
+def _count_unread_tokens(target: targets.Target) -> int:
+    """Return the prompt tokens that an engine has yet to process.
 
-    Counting this entry's own prompts only, all entries would go on to send
-    to an engine that has just started, and first events come seconds late.
+    If each entry counted only its own prompts, all entries would keep sending
+    to an engine that has just started, and first events would be seconds late.
     """
     report = target.report
     if report is None:
@@ -121,21 +128,21 @@
 
 
 def count_tokens(request: requests.CallerRequest) -> int:
-    """Return the memory that a request is likely to take at its end."""
+    """Return the memory, in tokens, that a request probably ends with."""
     return request.prompt_tokens + request.likely_output_tokens
 
 
 def _score_memory(
     target: targets.Target, request: requests.CallerRequest, entry_count: int
 ) -> float:
-    share = _find_used_share(target, request, entry_count)
+    share = _estimate_used_share(target, request, entry_count)
     return share + (_MEMORY_OVERFLOW_COST if share > 1.0 else 0.0)
 
 
-def _find_used_share(
+def _estimate_used_share(
     target: targets.Target, request: requests.CallerRequest, entry_count: int
 ) -> float:
-    """Return the share of memory in use once a request is there too."""
+    """Return the share of memory in use once the request is added."""
     engine = request.service.engine
     assert engine is not None
     report = target.report
@@ -154,28 +161,28 @@
     data_centre: str,
     entry_count: int,
     now: float,
-    source: random.Random,
-    far_cost: float = _DISTANCE_COST,
-    others_per_s: float = 0.0,
+    rng: random.Random,
+    distance_cost: float = _DISTANCE_COST,
+    other_arrivals_per_s: float = 0.0,
     avoided: abc.Collection[str] = (),
 ) -> typing.Optional[targets.Target]:
     """Return one of the best targets that take work, or None.
 
-    ``others_per_s`` is how many such requests other entries send a second,
-    ``avoided`` names targets that are to be taken only if they are much
+    ``other_arrivals_per_s`` is how many such requests other entries send a
+    second. ``avoided`` names targets that are chosen only if they are much
     better.
     """
     scored = [
         (
             score_target(
-                target, request, data_centre, entry_count, now, far_cost
+                target, request, data_centre, entry_count, now, distance_cost
             )
             + (
                 _RESERVED_DESTINATION_COST
                 if target.target_id in avoided
                 else 0.0
             )
-            + source.random() * _TIE_BREAK_NOISE,
+            + rng.random() * _TIE_BREAK_NOISE,
             target,
         )
         for target in candidates
@@ -184,20 +191,21 @@
     if not scored:
         return None
     scored.sort(key=lambda item: item[0])
-    unseen = others_per_s * _measure_report_age_s(scored, now)
-    level = _find_level(
-        [score for score, _ in scored], unseen * _estimate_cost(request)
+    unseen = other_arrivals_per_s * _measure_report_age_s(scored, now)
+    level = _find_water_level(
+        [score for score, _ in scored],
+        unseen * _estimate_request_cost(request),
     )
     weights = [max(0.0, level - score) for score, _ in scored]
     if not any(weights):
         return scored[0][1]
-    return source.choices(scored, weights)[0][1]
+    return rng.choices(scored, weights)[0][1]
 
 
 def _measure_report_age_s(
     scored: abc.Sequence[tuple[float, targets.Target]], now: float
 ) -> float:
-    """Return the mean age of the reports, 0 if there are none."""
+    """Return the mean age of the reports in seconds, 0 without reports."""
     ages = [
         max(0.0, now - target.report.received_at)
         for _, target in scored
@@ -206,11 +214,11 @@
     return sum(ages) / len(ages) if ages else 0.0
 
 
-def _estimate_cost(request: requests.CallerRequest) -> float:
-    """Return what a request like this one adds to a target's score."""
+def _estimate_request_cost(request: requests.CallerRequest) -> float:
+    """Return how much a request like this one adds to a target's score."""
     engine = request.service.engine
     if engine is None:
-        return _REQUEST_COST
+        return _PLAIN_REQUEST_COST
     return (
         request.prompt_tokens / _UNREAD_TOKENS_SCALE
         + count_tokens(request) / max(1, engine.memory_tokens)
@@ -219,10 +227,10 @@
     )
 
 
-def _find_level(scores: abc.Sequence[float], amount: float) -> float:
-    """Return the level up to which ``amount`` fills up sorted scores.
+def _find_water_level(scores: abc.Sequence[float], amount: float) -> float:
+    """Return the level up to which ``amount`` fills the sorted scores.
 
-    >>> _find_level([1.0, 2.0, 9.0], 3.0)
+    >>> _find_water_level([1.0, 2.0, 9.0], 3.0)
     3.0
     """
     filled = 0.0
@@ -240,45 +248,47 @@
     request: requests.CallerRequest,
     entry_count: int,
     now: float,
-    source: random.Random,
-    most_used: float,
-    others_per_s: float = 0.0,
+    rng: random.Random,
+    max_used_share: float,
+    other_arrivals_per_s: float = 0.0,
     avoided: abc.Collection[str] = (),
 ) -> typing.Optional[targets.Target]:
-    """Return the target that takes a copy of what ``runner`` generates.
+    """Return the target that receives a copy of a generation's memory.
 
-    Near the runner, the more so the less time there is, and with room: its
-    memory is filled up to the share ``most_used``.
+    ``runner`` is the target that runs the generation. Targets in its data
+    centre are preferred, the more so the less time is left before it leaves.
+    The memory of the destination is filled up to the share ``max_used_share``.
     """
     others = [
         item
         for item in candidates
         if item is not runner
-        and _find_used_share(item, request, 1) <= most_used
+        and _estimate_used_share(item, request, 1) <= max_used_share
     ]
     near = runner.entry.data_centre
-    far_cost = _find_far_cost(runner, request, now)
+    distance_cost = _calculate_distance_cost(runner, request, now)
     return choose_target(
         others,
         request,
         near,
         entry_count,
         now,
-        source,
-        far_cost,
-        others_per_s,
+        rng,
+        distance_cost,
+        other_arrivals_per_s,
         avoided,
     )
 
 
-def _find_far_cost(
+def _calculate_distance_cost(
     runner: targets.Target, request: requests.CallerRequest, now: float
 ) -> float:
-    """Return what a destination in another data centre adds to its score.
+    """Return the score of a destination in another data centre.
 
-    A copy takes longer between data centres, and generations that wait for it
-    may be left behind as the runner goes. How many are is reckoned as if all
-    were as large as this one and went the same way, one after another.
+    Copies between data centres take longer, and generations that wait for them
+    may be left behind when the runner leaves. Their number is estimated as if
+    all generations were as large as this one and were copied to the same
+    destination one after another.
     """
     engine = request.service.engine
     if engine is None or runner.leaves_at is None:
@@ -289,7 +299,7 @@
     left_ms = max(0.0, (runner.leaves_at.at - now) * 1000)
     running = _count_running(runner)
     near = min(running, left_ms / copy_ms)
-    far = min(running, left_ms / (copy_ms * FAR_FACTOR))
+    far = min(running, left_ms / (copy_ms * DISTANCE_COPY_FACTOR))
     return _DISTANCE_COST + _LOST_GENERATION_COST * (near - far)
 
 
