--- a/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
@@ -23,9 +23,9 @@
 SERVICE: typing.Final = "service"
 DATA_CENTRE: typing.Final = "north"
 EVENT_S: typing.Final = 0.1
-"""Time between two events of a stream."""
+"""Seconds between two events of a stream."""
 LATE_S: typing.Final = 0.6
-"""How much later an event is that is late."""
+"""Seconds by which a late event is later than usual."""
 
 ENGINE: typing.Final = routes.EngineShape(
     slots=16,
@@ -62,7 +62,7 @@
 def make_request(
     route: routes.Route, engine: typing.Optional[routes.EngineShape]
 ) -> requests.CallerRequest:
-    """Return a request, inside a run of trio."""
+    """Return a request; to be called while trio runs."""
     deadline = deadlines.make_deadline(30000)
     return requests.CallerRequest(
         request_id="request-1",
@@ -103,10 +103,14 @@
 
 
 class ScriptedAnswer(target_calls.TargetAnswer):
-    """An answer as its words say."""
+    """An answer that follows a short script."""
 
     def __init__(self, words: str, target: targets.Target) -> None:
-        """Answer by ``words``, such as ``events 1-4 then break``."""
+        """Answer by ``words``, such as ``events 1-4 then break``.
+
+        An ``unmarked`` answer lacks the target's seal. An ``unproved refusal``
+        has the status of a refusal, but does not say that nothing has run.
+        """
         self.headers = ((b"x-mark", b"1"),)
         self.has_not_run = words == "refuse"
         self.is_wrong_target = words == "other target"
@@ -143,17 +147,17 @@
 
 
 class ScriptedCalls(target_calls.TargetCalls):
-    """Targets that do what a list of words says, send by send."""
+    """Targets that follow a script, one item for each send."""
 
     def __init__(self) -> None:
         """Start without targets."""
         self.scripts: dict[str, list[str]] = {}
-        self.moves: list[str] = []
-        self.stops: list[bool] = []
+        self.copy_results: list[str] = []
+        self.stop_flags: list[bool] = []
         self.sends: list[tuple[str, requests.SendOptions]] = []
         self.open: set[str] = set()
-        self.most_open = 0
-        self.freed: list[tuple[str, str]] = []
+        self.max_open = 0
+        self.freed_copies: list[tuple[str, str]] = []
 
     @contextlib.asynccontextmanager
     async def send_request(
@@ -162,7 +166,7 @@
         request: requests.CallerRequest,
         options: requests.SendOptions,
     ) -> abc.AsyncIterator[target_calls.TargetAnswer]:
-        """Answer by the next words of the target."""
+        """Answer by the next item of the target's script."""
         name = target.target_id
         script = self.scripts[name]
         words = script.pop(0) if len(script) > 1 else script[0]
@@ -170,7 +174,7 @@
             raise ports.PortError("connect", name, "down", took_effect=False)
         self.sends.append((name, options))
         self.open.add(name)
-        self.most_open = max(self.most_open, len(self.open))
+        self.max_open = max(self.max_open, len(self.open))
         try:
             await trio.sleep(0.01)
             if words == "lost":
@@ -192,10 +196,14 @@
         stops_first: bool,
         deadline: deadlines.Deadline,
     ) -> target_calls.CopyResult:
-        """Answer by the next words for moves."""
-        self.stops.append(stops_first)
+        """Answer by the next scripted result of a copy."""
+        self.stop_flags.append(stops_first)
         await trio.sleep(0.05)
-        words = self.moves.pop(0) if len(self.moves) > 1 else self.moves[0]
+        words = (
+            self.copy_results.pop(0)
+            if len(self.copy_results) > 1
+            else self.copy_results[0]
+        )
         if words == "unreachable":
             raise ports.PortError(
                 "move memory", "source", "down", took_effect=False
@@ -203,18 +211,18 @@
         return target_calls.CopyResult("handle-1", words == "copied")
 
     async def free_copy(self, target: targets.Target, name: str) -> None:
-        """Note what is freed."""
-        self.freed.append((target.target_id, name))
+        """Record what is freed."""
+        self.freed_copies.append((target.target_id, name))
 
     def close_unlisted(self, listed: abc.Collection[targets.Target]) -> None:
-        """Keep nothing anyway."""
+        """Do nothing: no connection is kept."""
 
 
-class NotedAnswer(caller_answers.CallerAnswer):
-    """What a caller has received."""
+class RecordedAnswer(caller_answers.CallerAnswer):
+    """Records what a caller receives."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without an answer."""
         self.data = b""
         self.headers: abc.Sequence[tuple[bytes, bytes]] = ()
 
@@ -224,7 +232,7 @@
         headers: abc.Sequence[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Note a whole answer."""
+        """Record a whole answer."""
         await self.start(status, headers)
         self.data = body
         await self.finish()
@@ -232,19 +240,19 @@
     async def start(
         self, status: int, headers: abc.Sequence[tuple[bytes, bytes]]
     ) -> None:
-        """Note the head."""
+        """Record the head."""
         assert not self.is_started
         self.is_started = True
         self.status = status
         self.headers = headers
 
     async def send(self, data: bytes) -> None:
-        """Note a part of the body."""
+        """Record a part of the body."""
         assert not self.is_finished
         self.data += data
 
     async def finish(self) -> None:
-        """Note the end."""
+        """Record the end."""
         assert not self.is_finished
         self.is_finished = True
 
--- a/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
@@ -1,4 +1,4 @@
-"""Requests that come to an entry while it leaves."""
+"""Requests that arrive at an entry while it leaves."""
 
 from collections import abc
 import random
@@ -15,7 +15,7 @@
 from gentianpoint_entry.forwarding import request_handling
 from gentianpoint_entry.forwarding import routes
 
-_COUNT: typing.Final = 60
+_REQUEST_COUNT: typing.Final = 60
 _ESTIMATE_SPREAD: typing.Final = 1.0
 """Standard deviation of the logarithm of estimate over length."""
 ENGINE: typing.Final = forwarding_builders.ENGINE._replace(
@@ -24,12 +24,13 @@
 
 
 class Generation(typing.NamedTuple):
-    """A generation and what its caller says of it."""
+    """A generation, and the length that its caller states."""
 
-    comes_at: float
-    """When it comes, as a share of the time that the entry leaves for."""
+    arrives_at: float
+    """When it arrives, as a share of the time that the entry takes to
+    leave."""
     events: int
-    """Events of its answer, ten tokens and 100 ms each."""
+    """Events of its answer, each of ten tokens and 100 ms."""
     likely_tokens: int
     """Its caller's estimate of the answer's tokens."""
     most_tokens: int
@@ -37,17 +38,17 @@
 
 
 def draw_generations(most_tokens: int, seed: int) -> list[Generation]:
-    """Return generations whose estimates are right at the median only."""
+    """Return generations whose estimates are right only at the median."""
     source = random.Random(seed)
     drawn = []
     most_events = most_tokens // ENGINE.event_tokens
-    for number in range(_COUNT):
+    for number in range(_REQUEST_COUNT):
         events = source.randint(1, most_events)
         factor = source.lognormvariate(0, _ESTIMATE_SPREAD)
         estimate = round(events * ENGINE.event_tokens * factor)
         likely_tokens = max(1, min(estimate, most_tokens))
         generation = Generation(
-            number / _COUNT, events, likely_tokens, most_tokens
+            number / _REQUEST_COUNT, events, likely_tokens, most_tokens
         )
         drawn.append(generation)
     return drawn
@@ -55,7 +56,7 @@
 
 def serve_while_leaving(
     generations: abc.Sequence[Generation], leave_ms: int
-) -> list[tuple[Generation, forwarding_builders.NotedAnswer]]:
+) -> list[tuple[Generation, forwarding_builders.RecordedAnswer]]:
     """Serve each generation alone, and return what its caller received."""
     return [
         (generation, topic_builders.run_on_clock(_serve, generation, leave_ms))
@@ -65,8 +66,8 @@
 
 async def _serve(
     generation: Generation, leave_ms: int
-) -> forwarding_builders.NotedAnswer:
-    answer = forwarding_builders.NotedAnswer()
+) -> forwarding_builders.RecordedAnswer:
+    answer = forwarding_builders.RecordedAnswer()
     calls = forwarding_builders.ScriptedCalls()
     calls.scripts["a"] = [f"events 1-{generation.events} then end"]
     shared = forwarding_builders.make_forwarder(["a"], calls)
@@ -75,7 +76,7 @@
     handling = request_handling.RequestHandler(
         shared, forwarding_builders.send_refusal, lambda: ends_at
     )
-    await trio.sleep(generation.comes_at * leave_ms / 1000)
+    await trio.sleep(generation.arrives_at * leave_ms / 1000)
     request = forwarding_builders.make_request(route, ENGINE)
     request = request._replace(
         likely_output_tokens=generation.likely_tokens,
@@ -92,12 +93,12 @@
     leave_ms: float,
     needed_ms: float,
 ) -> list[float]:
-    """Return when callers that a leaving entry refuses are to come back."""
+    """Return when callers that a leaving entry refuses should come back."""
     return [
         topic_builders.run_on_clock(
             _refuse, near, far, leave_ms, needed_ms, seed
         )
-        for seed in range(_COUNT)
+        for seed in range(_REQUEST_COUNT)
     ]
 
 
@@ -108,12 +109,12 @@
     needed_ms: float,
     seed: int,
 ) -> float:
-    noted = []
+    delays_ms = []
 
-    async def note(
+    async def record_refusal(
         answer: caller_answers.CallerAnswer, refusal: refusals.Refusal
     ) -> None:
-        noted.append(refusal.retry_after_ms)
+        delays_ms.append(refusal.retry_after_ms)
 
     shared = forwarding_builders.make_forwarder(
         [], forwarding_builders.ScriptedCalls()
@@ -121,15 +122,15 @@
     shared.rng.seed(seed)
     handling = request_handling.RequestHandler(
         shared,
-        note,
+        record_refusal,
         trio.current_time,
         lambda _: leaving.find_retry_delay_ms(near, far, leave_ms, needed_ms),
     )
     request = forwarding_builders.make_request(
         forwarding_builders.make_route(routes.RouteKind.STREAM), ENGINE
     )
-    patient = deadlines.make_deadline(60000)
-    request = request._replace(caller_deadline=patient)
-    await handling.serve(request, forwarding_builders.NotedAnswer())
-    (returns_ms,) = noted
+    long_deadline = deadlines.make_deadline(60000)
+    request = request._replace(caller_deadline=long_deadline)
+    await handling.serve(request, forwarding_builders.RecordedAnswer())
+    (returns_ms,) = delays_ms
     return returns_ms
--- a/packages/gentianpoint-entry/features/forwarding/plain_calls.feature
+++ b/packages/gentianpoint-entry/features/forwarding/plain_calls.feature
@@ -1,11 +1,11 @@
 Feature: A plain request is answered once
-  Some calls of plain services may be repeated and some may not, and targets
-  lose answers, refuse, or give answers that are none.
+  Targets lose answers, refuse requests, or give answers without their seal,
+  and only some calls may be repeated.
 
   Scenario Outline: what a caller gets when the first target does not serve
-    The first target fails in one way or another while the second is well.
-    A lookup that may be repeated is answered by the second; one that may not
-    is answered by it only when the first surely has not run it.
+    A call that may be repeated is answered by the second target. One that may
+    run only once is answered by it only if the first target certainly has not
+    run it.
     Given a plain request that may <repeat>
     And target a answers: <first>
     And target b answers: body
@@ -34,8 +34,8 @@
       | run once only   | mute             | status 504            | 1     |
 
   Scenario: every target refuses
-    All targets are full. The caller is told at once that its request has not
-    run, and when to come back.
+    Guards against a caller that waits although all targets are full. It is
+    told at once that its request has not run, and when to come back.
     Given a plain request that may run once only
     And target a answers: refuse
     And target b answers: refuse
@@ -43,9 +43,8 @@
     Then the caller is given status 503
     And it took less than half a second
 
-  Scenario: a target's own failure is what there is
-    Both targets fail a request that may be repeated. The caller gets the
-    answer of a target, not one of the system's own.
+  Scenario: both targets fail
+    Guards against an answer of the entry's own where a target has given one.
     Given a plain request that may be repeated
     And target a answers: failure
     And target b answers: failure
@@ -54,8 +53,9 @@
     And 2 targets were asked
 
   Scenario: a target's own failure when no retry is left
-    A target fails while many others do, so the budget for retries is spent.
-    Its answer is there: the caller gets it, and isn't told that it was lost.
+    The limit on retries is spent because many targets fail. Guards against a
+    caller that is told that the answer was lost, although a target has given
+    one.
     Given a plain request that may be repeated
     And target a answers: failure
     And target b answers: body
@@ -65,18 +65,19 @@
     And 1 targets were asked
 
   Scenario: a target's failure is replaced by another target's answer
-    The caller notices a longer wait at most. Without a line nobody finds the
-    target that fails, and retries seem to come from nowhere.
+    The caller sees at most a longer wait. Without a log line the failing
+    target cannot be found, and retries have no visible cause.
     Given a plain request that may be repeated
     And target a answers: failure
     And target b answers: body
     When the request is served
     Then the caller is given the body of b
-    And a line tells of status 500 at a, which has run it
+    And a log line tells of status 500 at a, which may have run it
 
   Scenario: the last target that a request is sent to fails
-    Three targets are full and the fourth fails. Were its answer dropped for
-    a fifth attempt that is never made, the caller would get none.
+    Three targets are full and the fourth fails. Guards against its answer
+    being discarded for a fifth attempt that is never made, which leaves the
+    caller without any.
     Given a plain request that may be repeated
     And target a answers: refuse
     And target b answers: refuse
--- a/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests at an entry that leaves."""
+"""Steps for requests at an entry that was told to stop."""
 
 import behave
 import forwarding_builders
@@ -20,9 +20,9 @@
     context.calls = forwarding_builders.ScriptedCalls()
 
 
-@behave.when("it comes {left:d} ms before the entry ends, which then ends")
+@behave.when("it arrives {left:d} ms before the entry ends, which then ends")
 def serve_to_end(context, left):
-    context.answer = forwarding_builders.NotedAnswer()
+    context.answer = forwarding_builders.RecordedAnswer()
 
     async def run():
         shared = forwarding_builders.make_forwarder(["a"], context.calls)
@@ -59,14 +59,14 @@
 
 
 @behave.given("a plain call of a route without objectives")
-def make_unmeasured(context):
+def make_without_objectives(context):
     make_kind(context, "plain call", 0)
     context.route = context.route._replace(objective_ms=0.0)
 
 
-@behave.when("it comes {left:d} ms before the entry ends")
+@behave.when("it arrives {left:d} ms before the entry ends")
 def serve_late(context, left):
-    context.answer = forwarding_builders.NotedAnswer()
+    context.answer = forwarding_builders.RecordedAnswer()
 
     async def run():
         shared = forwarding_builders.make_forwarder(["a"], context.calls)
@@ -95,7 +95,9 @@
     return line
 
 
-@behave.then("the line of the decision says that the request was {decision}")
+@behave.then(
+    "the log line of the decision says that the request was {decision}"
+)
 def check_decision(context, decision):
     line = find_decision(context)
     assert line["is_taken"] is (decision == "taken"), line
@@ -120,7 +122,7 @@
     context.generations = leaving_builders.draw_generations(most, seed)
 
 
-@behave.when("they come while an entry leaves, which takes {leave_ms:d} ms")
+@behave.when("they arrive while an entry leaves, which takes {leave_ms:d} ms")
 def serve_generations(context, leave_ms):
     context.answers = leaving_builders.serve_while_leaving(
         context.generations, leave_ms
@@ -146,7 +148,7 @@
     context.leave_ms = leave_ms
 
 
-@behave.given("one more has left for {passed_ms:d} ms of them")
+@behave.given("one more has been leaving for {passed_ms:d} ms")
 def add_leaving_entry(context, passed_ms):
     context.leaving_for_ms.append(passed_ms)
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/plain_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/plain_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for plain requests."""
+"""Steps for requests that are answered with one body."""
 
 import behave
 import forwarding_builders
@@ -8,15 +8,15 @@
 
 @behave.given("a plain request that may be repeated")
 def make_idempotent(context):
-    start(context, routes.RouteKind.IDEMPOTENT)
+    start_plain(context, routes.RouteKind.IDEMPOTENT)
 
 
 @behave.given("a plain request that may run once only")
 def make_once(context):
-    start(context, routes.RouteKind.ONCE)
+    start_plain(context, routes.RouteKind.ONCE)
 
 
-def start(context, kind):
+def start_plain(context, kind):
     context.route = forwarding_builders.make_route(kind, max_attempts=2)
     context.engine = None
     context.calls = forwarding_builders.ScriptedCalls()
@@ -50,7 +50,9 @@
     assert context.took_s < 0.5
 
 
-@behave.then("a line tells of status {status:d} at {name}, which has run it")
+@behave.then(
+    "a log line tells of status {status:d} at {name}, which may have run it"
+)
 def check_failure_line(context, status, name):
     (line,) = [
         line for line in context.lines if line["event"] == "attempt_failed"
--- a/packages/gentianpoint-entry/features/forwarding/steps/retry_limits_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/retry_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the bound on retries."""
+"""Steps for the limit on retries."""
 
 import behave
 
@@ -8,7 +8,7 @@
 
 
 @behave.given(
-    "{entries:d} entries that may make 0.2 retries a request and 50 besides"
+    "{entries:d} entries that may make 0.2 retries a request and 50 more"
 )
 def make_limits(context, entries):
     context.entries = context.known = entries
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for streams that go on at other targets."""
+"""Steps for streams that continue at other targets."""
 
 import types
 
@@ -13,7 +13,7 @@
 from gentianpoint_entry.forwarding import routes
 
 
-def start(context, *, may_resume=False, copies=False):
+def start_stream(context, *, may_resume=False, copies=False):
     context.route = forwarding_builders.make_route(
         routes.RouteKind.STREAM,
         may_resume=may_resume,
@@ -25,17 +25,17 @@
 
 @behave.given("a generation that may run once, with a copy at a second target")
 def make_backed_up(context):
-    start(context, copies=True)
+    start_stream(context, copies=True)
 
 
 @behave.given("a generation that may run once, without copies")
 def make_single(context):
-    start(context)
+    start_stream(context)
 
 
 @behave.given("a generation that may be resumed")
 def make_resumable(context):
-    start(context, may_resume=True)
+    start_stream(context, may_resume=True)
 
 
 @behave.given("target {name} answers: {words}")
@@ -48,21 +48,21 @@
     context.calls.scripts[name].append(words)
 
 
-@behave.given("moves of memory: {words}")
-def set_moves(context, words):
-    context.calls.moves = [word.strip() for word in words.split(",")]
+@behave.given("copies of its memory: {words}")
+def set_copy_results(context, words):
+    context.calls.copy_results = [word.strip() for word in words.split(",")]
 
 
 @behave.given("a copy of its memory takes about {copy_ms:d} ms")
 def set_copy_time(context, copy_ms):
-    # A prompt of 100 tokens over a link of 1 Mbit a second.
+    # A prompt of 100 tokens over a link of 1 Mbit/s.
     context.engine = context.engine._replace(
         token_bytes=copy_ms * 1000 / 8 / 100, link_mbps=1.0
     )
 
 
 async def give_notice(context, shared, number, left_ms=2000):
-    """Let target a leave once the caller has an event."""
+    """Give target a notice once the caller has an event."""
     wanted = forwarding_builders.make_event(number)
     while wanted not in context.answer.data:
         await trio.sleep(0.01)
@@ -79,8 +79,8 @@
     shared.board.drop("a")
 
 
-async def watch_sends(context):
-    """Note when target b was asked and when target a was left."""
+async def measure_overlap(context):
+    """Measure for how long a's stream stays open once b is asked."""
     calls = context.calls
     while not any(name == "b" for name, _ in calls.sends):
         await trio.sleep(0.01)
@@ -91,9 +91,13 @@
 
 
 def serve(
-    context, change=give_notice, number=None, find_end=lambda: None, most_s=99
+    context,
+    change=give_notice,
+    number=None,
+    find_shutdown_time=lambda: None,
+    timeout_s=99,
 ):
-    context.answer = forwarding_builders.NotedAnswer()
+    context.answer = forwarding_builders.RecordedAnswer()
 
     async def run():
         shared = forwarding_builders.make_forwarder(
@@ -105,14 +109,14 @@
             context.route, context.engine
         )
         handling = request_handling.RequestHandler(
-            shared, forwarding_builders.send_refusal, find_end
+            shared, forwarding_builders.send_refusal, find_shutdown_time
         )
         began = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(watch_sends, context)
+            nursery.start_soon(measure_overlap, context)
             if number is not None:
                 nursery.start_soon(change, context, shared, number)
-            with trio.move_on_after(most_s):
+            with trio.move_on_after(timeout_s):
                 await handling.serve(request, context.answer)
             context.took_s = trio.current_time() - began
             nursery.cancel_scope.cancel()
@@ -145,7 +149,7 @@
 @behave.when(
     "the request is served and a leaves the list after event {number:d}"
 )
-def serve_without_listing(context, number):
+def serve_until_unlisted(context, number):
     serve(context, drop_target, number)
 
 
@@ -183,8 +187,8 @@
 
 
 @behave.then(
-    "target {name} was asked to go on after event {last:d} from the copy that"
-    " it keeps"
+    "target {name} was asked to continue after event {last:d} from the copy"
+    " that it keeps"
 )
 def check_backup(context, name, last):
     options = find_send(context, name)
@@ -193,7 +197,7 @@
 
 
 @behave.then(
-    "target {name} was asked to go on after event {last:d} without a copy"
+    "target {name} was asked to continue after event {last:d} without a copy"
 )
 def check_resume(context, name, last):
     options = find_send(context, name)
@@ -201,13 +205,13 @@
     assert options.copy is None
 
 
-@behave.then("target {name} was asked to go on from the handle of the move")
+@behave.then("target {name} was asked to continue from the handle of the move")
 def check_move(context, name):
     assert find_send(context, name).copy.name == "handle-1"
 
 
-@behave.then("target {name} was asked nothing")
-def check_unasked(context, name):
+@behave.then("target {name} received no request")
+def check_no_request(context, name):
     assert name not in [sent for sent, _ in context.calls.sends]
 
 
@@ -225,17 +229,17 @@
 
 
 @behave.then(
-    "target a was left a quarter of a second after target b was asked"
+    "the stream of a was closed a quarter of a second after b was asked"
 )
 def check_overlap(context):
     assert 0.2 <= context.overlap_s <= 0.3, context.overlap_s
 
 
 @behave.then(
-    "the line that ends the request tells of a pause of {pause_ms:d} ms before"
-    " event {number:d}"
+    "the log line that ends the request tells of a pause of {pause_ms:d} ms"
+    " before event {number:d}"
 )
-def check_pace_line(context, pause_ms, number):
+def check_pause_line(context, pause_ms, number):
     ends = [line for line in context.lines if line["event"] == "request_ended"]
     assert len(ends) == 1, ends
     assert ends[0]["longest_pause_ms"] == pause_ms, ends
@@ -243,7 +247,7 @@
 
 
 @behave.then(
-    "the line that sends the request tells of {prompt:d} prompt and"
+    "the log line that sends the request tells of {prompt:d} prompt and"
     " {output:d} output tokens"
 )
 def check_size_line(context, prompt, output):
@@ -260,14 +264,14 @@
         "after the stop only": [True],
         "not at all": [],
     }
-    assert context.calls.stops == stops[way], context.calls.stops
+    assert context.calls.stop_flags == stops[way], context.calls.stop_flags
 
 
 @behave.when("the request is served until {who} after {wait_ms:d} ms")
 def serve_until(context, who, wait_ms):
     began = []
 
-    def find_end():
+    def find_shutdown_time():
         # The entry is told to stop half a second after the request came.
         now = trio.current_time()
         began.append(now)
@@ -275,10 +279,14 @@
             return None
         return began[0] + wait_ms / 1000
 
-    serve(context, find_end=find_end, most_s=wait_ms / 1000)
+    serve(
+        context,
+        find_shutdown_time=find_shutdown_time,
+        timeout_s=wait_ms / 1000,
+    )
 
 
-@behave.then("the line that ends the request has the outcome {outcome}")
+@behave.then("the log line that ends the request has the outcome {outcome}")
 def check_outcome(context, outcome):
     ends = [line for line in context.lines if line["event"] == "request_ended"]
     assert [line["outcome"] for line in ends] == [outcome], ends
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_events_steps.py
@@ -26,7 +26,7 @@
     return [event async for event in events]
 
 
-@behave.when("they come in pieces of {size:d} bytes")
+@behave.when("they arrive in pieces of {size:d} bytes")
 def read_events(context, size):
     async def read():
         data = context.data
@@ -53,7 +53,7 @@
     context.order = stream_events.EventOrder("")
 
 
-@behave.when("events come with the numbers {numbers}")
+@behave.when("events arrive with the numbers {numbers}")
 def take_events(context, numbers):
     given = []
     for number in map(int, numbers.split()):
@@ -67,7 +67,7 @@
     context.given_events = " ".join(given)
 
 
-@behave.then("these are passed on: {given}")
+@behave.then("these are forwarded: {given}")
 def check_given(context, given):
     assert context.given_events == given, context.given_events
 
@@ -77,14 +77,14 @@
     context.order = stream_events.EventOrder("9" * count)
 
 
-@behave.when("an event of {count:d} digits comes")
+@behave.when("an event of {count:d} digits arrives")
 def take_long_event(context, count):
     data = b"id: " + b"9" * count + b"\n\n"
     (context.event,) = trio.run(read_pieces, [data])
 
 
-@behave.then("the event is passed on")
-def check_passed_on(context):
+@behave.then("the event is forwarded")
+def check_forwarded(context):
     assert context.order.accept(context.event)
 
 
@@ -109,7 +109,8 @@
 
 
 @behave.then(
-    "whatever bytes come, all are passed on in order or the stream breaks off"
+    "whatever bytes arrive, all are forwarded in order or the stream"
+    " breaks off"
 )
 def check_any_bytes(context):
     @hypothesis.settings(
--- a/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the choice of targets."""
+"""Steps for the selection of targets."""
 
 import random
 
@@ -13,7 +13,7 @@
 from gentianpoint_entry.forwarding import targets
 
 _NOW = 50.0
-_NOTHING = targets.EngineReport(
+_IDLE_REPORT = targets.EngineReport(
     received_at=_NOW,
     running=0,
     waiting=0,
@@ -31,7 +31,7 @@
     if "engines" not in context:
         context.engines = {}
     target = targets.Target(forwarding_builders.make_entry(name), 0.0)
-    report = _NOTHING
+    report = _IDLE_REPORT
     word, _, value = words.partition(" ")
     match word:
         case "memory":
@@ -83,25 +83,25 @@
     context.engines[name].prompt_tokens_since_report = tokens
 
 
-@behave.when("{count:d} generations are placed without sending")
+@behave.when("{count:d} generations are placed without sending them")
 def place_alone(context, count):
     place(context, count, 1)
 
 
 @behave.when("{count:d} generations are placed by one of {entries:d} entries")
 def place(context, count, entries):
-    draw(context, count, entries, _NOW, 0.0)
+    place_generations(context, count, entries, _NOW, 0.0)
 
 
 @behave.when(
-    "{count:d} generations are placed by reports of {age_ms:d} ms while other"
+    "{count:d} generations are placed by reports {age_ms:d} ms old while other"
     " entries place {rate:d} a second"
 )
 def place_among_others(context, count, age_ms, rate):
-    draw(context, count, 1, _NOW + age_ms / 1000, rate)
+    place_generations(context, count, 1, _NOW + age_ms / 1000, rate)
 
 
-def draw(context, count, entries, now, other_arrivals_per_s):
+def place_generations(context, count, entries, now, other_arrivals_per_s):
     request = make_request(context)
     rng = random.Random(3)
     context.placed = [
@@ -128,7 +128,7 @@
     assert set(context.placed) == {name}, context.placed
 
 
-@behave.then("each of them gets some")
+@behave.then("each engine gets some of them")
 def check_shared(context):
     assert set(context.placed) == {"a", "b"}
 
@@ -158,7 +158,7 @@
     context.notice_ago_s = ago_s
 
 
-@behave.when("a backup is chosen for a generation at a by the entry")
+@behave.when("the entry chooses a backup for a generation at a")
 def choose_by_entry(context):
     choose_at_entry(
         context,
@@ -201,9 +201,11 @@
     context.backup = "none" if chosen is None else chosen.target_id
 
 
-@behave.given("a copy of a generation takes {copy_ms:d} ms near by")
+@behave.given(
+    "a copy of a generation takes {copy_ms:d} ms within a data centre"
+)
 def set_copy_time(context, copy_ms):
-    # Two hundred tokens over a link of 1 Mbit a second.
+    # 200 tokens over a link of 1 Mbit/s.
     context.shape = forwarding_builders.ENGINE._replace(
         token_bytes=copy_ms * 1000 / 8 / 200, link_mbps=1.0
     )
--- a/packages/gentianpoint-entry/features/forwarding/stream_calls.feature
+++ b/packages/gentianpoint-entry/features/forwarding/stream_calls.feature
@@ -1,17 +1,17 @@
-Feature: A stream goes on at other targets within one answer
-  Generations may run at most once unless their route says otherwise, and
-  they last longer than the notice that targets get before they leave.
+Feature: A stream continues at other targets within one answer
+  Generations may run at most once unless their route says otherwise, and they
+  take longer than the notice that targets get before they leave.
 
   Scenario Outline: a target breaks off in the middle of a generation
-    The target's host dies while a report is being written. A second target
-    has a copy of the memory, and the caller reads on as if nothing had been;
-    without it a technician would write hours of notes again.
+    The target's host dies while a report is being generated. Guards against an
+    answer that is lost although a second target has a copy of the memory and
+    can continue it without the caller noticing.
     Given a generation that may run once, with a copy at a second target
     And target a answers: <first>
     And target b answers: events 4-6 then end
     When the request is served
     Then the caller has events 1 to 6, each once, as a complete answer
-    And target b was asked to go on after event 3 from the copy that it keeps
+    And target b was asked to continue after event 3 from the copy that it keeps
     And no target but a was asked to start the generation
 
     Examples:
@@ -19,18 +19,18 @@
       | events 1-3 then break        |
       | events 1-3 then half an event |
 
-  Scenario: the copy goes back a little further than what the caller has
-    Copies are made some times a second, so the second target makes the last
-    events anew. A caller that got them twice would bill its client twice.
+  Scenario: the copy is older than the last event that the caller has
+    Copies are made some times a second, so the second target generates the
+    last events again. Guards against a caller that receives them twice.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-3 then break
     And target b answers: events 2-6 then end
     When the request is served
     Then the caller has events 1 to 6, each once, as a complete answer
 
-  Scenario: events are missing where the second target goes on
-    The second target skips an event. Passed on, the report would have a hole
-    that nobody sees; the caller is told of the break instead.
+  Scenario: the second target skips an event
+    Guards against a gap in the report that nobody notices. The answer is
+    broken off instead, so that the caller knows.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-3 then break
     And target b answers: events 5-8 then end
@@ -38,8 +38,8 @@
     Then the caller has events 1 to 3, and the answer is broken off
 
   Scenario: the second target has no copy after all
-    The second target had no room for the copy. Nobody can go on, and to
-    start again could bill the report twice.
+    The second target had no room for the copy, so the stream cannot continue.
+    Guards against starting the generation again, which could bill it twice.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-3 then break
     And target b answers: refuse
@@ -47,13 +47,12 @@
     Then the caller has events 1 to 3, and the answer is broken off
     And no target but a was asked to start the generation
 
-  Scenario Outline: the second target fails where it should go on
-    The second target answers with a failure instead of events. Its text must
-    not become a part of the report.
+  Scenario Outline: the second target fails to continue the stream
+    Guards against the text of an error answer becoming part of the report.
     Given a generation that may run once, with a copy at a second target
     And target a answers: <first>
     And target b answers: failure
-    And moves of memory: no room
+    And copies of its memory: no room
     When the request is <way>
     Then the caller has events 1 to <last>, <outcome>
 
@@ -63,19 +62,19 @@
       | events 1-40 then end  | served and a gets notice after event 20   | 40   | each once, as a complete answer |
 
   Scenario: a target dies before the first event
-    Whether the generation has begun can't be told, so the caller may not be
-    told that it has not run.
+    It is unknown whether the generation has begun. Guards against a caller
+    that is told that its request has not run.
     Given a generation that may run once, without copies
     And target a answers: lost
     And target b answers: events 1-6 then end
     When the request is served
     Then the caller is refused with status 502
-    And target b was asked nothing
+    And target b received no request
 
-  Scenario Outline: targets that do not take the generation
-    A crowded target refuses and says that nothing has run, or can't be
-    reached. The next one gets the request, and only when none takes it is
-    the caller sent away with a promise that it has not run.
+  Scenario Outline: targets that do not accept the generation
+    A full target refuses and says that nothing has run, or cannot be reached.
+    The request is sent to the next target, and the caller is told that it has
+    not run only if no target accepts it.
     Given a generation that may run once, without copies
     And target a answers: <first>
     And target b answers: <second>
@@ -93,27 +92,28 @@
       | unmarked      | events 1-2 then end | the caller is refused with status 502 |
 
   Scenario: a stream that may be resumed
-    A ticket's tags may be made again, so another target makes the rest.
+    The tags of a ticket may be generated again, so another target generates
+    those that are missing.
     Given a generation that may be resumed
     And target a answers: events 1-2 then break
     And target b answers: events 3-4 then end
     When the request is served
     Then the caller has events 1 to 4, each once, as a complete answer
-    And target b was asked to go on after event 2 without a copy
+    And target b was asked to continue after event 2 without a copy
 
   Scenario: a target falls silent and leaves the list
-    The target's host stands still as the platform takes the target off its
-    list; the target serves on for two seconds after that, and wakes with the
-    generation in it. Had the second target gone on, both would have worked
-    on one report.
+    The target's host is suspended as the platform takes the target off its
+    list. The target serves on for two seconds after that, and resumes with the
+    generation in memory. Guards against a second target that works on the same
+    report.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-3 then silence
     And target b answers: events 4-6 then end
     When the request is served and a leaves the list after event 3
     Then the caller has events 1 to 3, and the answer is broken off
-    And target b was asked nothing
+    And target b received no request
 
-  Scenario: a target of a stream that may be resumed falls silent and leaves
+  Scenario: a target of a resumable stream falls silent and leaves the list
     Given a generation that may be resumed
     And target a answers: events 1-3 then silence
     And target b answers: events 4-6 then end
@@ -121,46 +121,49 @@
     Then the caller has events 1 to 6, each once, as a complete answer
 
   Scenario: a target falls silent and is still listed
-    The target's host stands still for some seconds and then wakes, with the
-    generation in it. Had the second target gone on meanwhile, the report
-    would have run twice.
+    The target's host is suspended for some seconds and then resumes, with the
+    generation in memory. Guards against a report that runs twice because a
+    second target continued it meanwhile.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-3 then silence
     And target b answers: events 4-6 then end
     When the request is served
     Then the caller has events 1 to 3, and the answer is broken off
-    And target b was asked nothing
+    And target b received no request
 
-  Scenario: a silent target and nothing that can go on
-    A preempted generation stands still for seconds on a crowded engine. It
-    is waited for as long as its caller waits, since to end it would lose it.
+  Scenario: a target falls silent and there is no other one
+    A preempted generation pauses for seconds on a full engine. Guards against
+    losing it by closing its stream: it is waited for as long as its caller
+    waits.
     Given a generation that may run once, without copies
     And target a answers: events 1-3 then silence
     When the request is served
     Then the caller has events 1 to 3, and the answer is broken off
     And it took as long as the caller waits
 
-  Scenario: a target gets notice
-    The platform takes an engine away in two seconds. Its generation's memory
-    is copied while it runs, then it stops, the rest is copied, and it goes on
-    at another engine; the caller sees a pause of a tenth of a second.
+  Scenario: a target gets notice and its generation moves
+    The platform takes an engine away in two seconds. The generation's memory
+    is copied while it runs; then it stops, the rest is copied, and it
+    continues at another engine. The caller sees a pause of a tenth of a
+    second.
     Given a generation that may run once, without copies
     And target a answers: events 1-9 then break
     And target b answers: events 3-9 then end
-    And moves of memory: copied, copied
+    And copies of its memory: copied, copied
     When the request is served and a gets notice after event 1
     Then the caller has events 1 to 9, each once, as a complete answer
-    And target b was asked to go on from the handle of the move
+    And target b was asked to continue from the handle of the move
 
   Scenario Outline: how a generation moves in the time that is left
-    Its turn to move comes late, behind others of its engine. Stopped first, it
-    stands still for all of its copy, which its caller hears; copied ahead
-    where there is no time for that, it is lost with its engine.
+    Its turn to move comes late, behind others of its engine. If it were
+    stopped first, it would pause for the whole copy, which its caller notices;
+    if it were copied ahead without time for that, it would be lost with its
+    engine.
     Given a generation that may run once, without copies
     And a copy of its memory takes about 500 ms
     And target a answers: events 1-9 then break
     And target b answers: events 3-9 then end
-    And moves of memory: copied, copied
+    And copies of its memory: copied, copied
     When the request is served and a leaves <left> ms after event 1
     Then the caller has events 1 to 9, each once, as a complete answer
     And its memory was copied <way>
@@ -171,10 +174,11 @@
       | 750  | ahead and once more at the end |
       | 550  | after the stop only            |
 
-  Scenario: a generation whose copy can't end in its target's notice
-    Its turn to move comes late, or its links are slow. Stopped for a copy that
-    takes longer than its engine is there, it is lost, where its caller would
-    have got the end of it if it had been left alone.
+  Scenario: a copy takes longer than the notice
+    The turn to move comes late, or the links are slow. Guards against a
+    generation that is stopped for a copy that takes longer than its engine
+    stays, and is lost, although its caller would have got the end of it
+    otherwise.
     Given a generation that may run once, without copies
     And a copy of its memory takes about 500 ms
     And target a answers: events 1-9 then end
@@ -183,78 +187,80 @@
     Then the caller has events 1 to 9, each once, as a complete answer
     And its memory was copied not at all
 
-  Scenario Outline: a generation that can't be moved away
-    The engine that leaves takes no new connection, or no other has room. The
-    generation runs on as long as its engine does; an entry that closed its
-    stream because it could not be moved would lose what still runs.
+  Scenario Outline: a generation that cannot be moved
+    The engine that leaves accepts no new connection, or no other engine has
+    room. The generation runs on as long as its engine does. Guards against an
+    entry that closes the stream because the move failed, and loses what still
+    runs.
     Given a generation that may run once, without copies
     And target a answers: events 1-9 then end
     And target b answers: refuse
-    And moves of memory: <moves>
+    And copies of its memory: <moves>
     When the request is served and a gets notice after event 1
     Then the caller has events 1 to 9, each once, as a complete answer
-    And target b was asked nothing
+    And target b received no request
 
     Examples:
       | moves                                                     |
       | copied, unreachable                                       |
       | no room                                                   |
 
-  Scenario: the rest of a generation found no room
-    The other engine is full by the time the generation has stopped. Its own
-    engine still has all of it, and goes on until it leaves.
+  Scenario: the destination has no room for the rest of a generation
+    The destination is full by the time the generation has stopped. Its own
+    engine still has all of it, and continues until it leaves.
     Given a generation that may run once, without copies
     And target a answers: events 1-5 then break
     And target a answers then: events 3-9 then end
     And target b answers: refuse
-    And moves of memory: copied, no room
+    And copies of its memory: copied, no room
     When the request is served and a gets notice after event 1
     Then the caller has events 1 to 9, each once, as a complete answer
 
   Scenario: the backup refuses a generation whose target leaves
-    The backup had no room for the copy, which shows only when it is asked.
-    The engine that leaves still runs the generation, so nothing is lost yet.
+    The backup had no room for the copy, which only shows when it is asked to
+    continue. Guards against a loss, since the engine that leaves still runs
+    the generation.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-40 then end
     And target b answers: refuse
-    And moves of memory: no room
+    And copies of its memory: no room
     When the request is served and a gets notice after event 20
     Then the caller has events 1 to 40, each once, as a complete answer
 
-  Scenario: two engines never work on one generation for long
-    While a backup takes a generation up, the engine that leaves may still
-    work on it. After a quarter of a second it does so no more.
+  Scenario: two engines work on one generation for a limited time
+    While a backup takes a generation over, the engine that leaves may still
+    work on it, but for no more than a quarter of a second.
     Given a generation that may run once, with a copy at a second target
     And target a answers: events 1-90 then end
     And target b answers: mute
     When the request is served and a gets notice after event 20
-    Then target a was left a quarter of a second after target b was asked
+    Then the stream of a was closed a quarter of a second after b was asked
 
-  Scenario: the line that ends a stream tells where it stood still
-    A report arrives whole, but its technician complains of a pause in the
-    middle. The engineer on call has the request's identifier and must find
-    the moment at which it stood still among thousands of lines.
+  Scenario: the log line that ends a stream tells where it paused
+    A caller complains of a pause in the middle of a report that arrived whole.
+    The moment of the pause must be found from the request's identifier, among
+    thousands of lines.
     Given a generation that may run once, without copies
     And target a answers: events 1-9 then end, late before 5
     When the request is served
-    Then the line that ends the request tells of a pause of 700 ms before event 5
+    Then the log line that ends the request tells of a pause of 700 ms before event 5
 
-  Scenario: the line that sends a stream tells its size
-    Many callers complain, and what the losses cost can't be told: a lost
-    answer of 2,000 tokens counts like one of four.
+  Scenario: the log line that sends a stream tells its size
+    Without it, the cost of lost answers is unknown: one of 2,000 tokens counts
+    like one of four.
     Given a generation that may run once, without copies
     And target a answers: events 1-3 then end
     When the request is served
-    Then the line that sends the request tells of 100 prompt and 100 output tokens
+    Then the log line that sends the request tells of 100 prompt and 100 output tokens
 
-  Scenario Outline: a line tells who broke an answer off
-    A host is stopped while it serves a report that outlasts its grace, and the
-    technician complains. A line that says that the caller left would send the
-    engineer on call the wrong way.
+  Scenario Outline: a log line tells who broke an answer off
+    A host is stopped while it serves a report that takes longer than the time
+    for the shutdown. Guards against a line that says that the caller left,
+    which misleads the engineer on call.
     Given a generation that may run once, without copies
     And target a answers: events 1-90 then end
     When the request is served until <who> after 1000 ms
-    Then the line that ends the request has the outcome <outcome>
+    Then the log line that ends the request has the outcome <outcome>
 
     Examples:
       | who               | outcome       |
--- a/packages/gentianpoint-entry/features/forwarding/stream_events.feature
+++ b/packages/gentianpoint-entry/features/forwarding/stream_events.feature
@@ -1,10 +1,10 @@
-Feature: Events are passed on whole and in order
+Feature: Events are forwarded whole and in order
 
-  Scenario Outline: bytes come in any pieces
-    Targets and networks cut a stream anywhere. A caller that got half an
-    event and then the rest from another target would read a broken one.
+  Scenario Outline: bytes arrive in any pieces
+    Targets and networks split a stream anywhere. Guards against a caller that
+    gets half an event, and the rest of it from another target.
     Given the bytes of events 1 to 3 with line ends <ends>
-    When they come in pieces of <size> bytes
+    When they arrive in pieces of <size> bytes
     Then 3 events are read, with the numbers 1 to 3 and the same bytes
 
     Examples:
@@ -17,8 +17,8 @@
 
   Scenario Outline: the numbers of events
     Given a caller that has the event "<last>"
-    When events come with the numbers <numbers>
-    Then these are passed on: <given>
+    When events arrive with the numbers <numbers>
+    Then these are forwarded: <given>
 
     Examples:
       | last | numbers | given                |
@@ -29,12 +29,12 @@
       |      | 1 2 2 3 | 1 2 3                |
       |      | 1 2 4   | 1 2 and then a failure |
 
-  Scenario Outline: identifiers that are no numbers
-    Callers and targets choose identifiers. An error at one would reset the
-    caller's stream, or that of a request that could be answered.
+  Scenario Outline: identifiers that are not numbers
+    Callers and targets choose identifiers. Guards against an error that resets
+    the caller's stream, or that of a request that could be answered.
     Given a caller that has the event "<last>"
-    When events come with the numbers 1 2
-    Then these are passed on: 1 2
+    When events arrive with the numbers 1 2
+    Then these are forwarded: 1 2
 
     Examples:
       | last                                        |
@@ -45,10 +45,11 @@
 
   Scenario: identifiers of thousands of digits
     Given a caller that has an event of 5000 digits
-    When an event of 5000 digits comes
-    Then the event is passed on
-
-  Scenario: bytes that are no events
-    A target that is broken sends anything. Its bytes reach the caller as they
-    came, or the stream breaks off; no error ends the request otherwise.
-    Then whatever bytes come, all are passed on in order or the stream breaks off
+    When an event of 5000 digits arrives
+    Then the event is forwarded
+
+  Scenario: bytes that are not events
+    Guards against a request that ends with an error because a broken target
+    sends arbitrary bytes. They are forwarded as they are, or the stream breaks
+    off.
+    Then whatever bytes arrive, all are forwarded in order or the stream breaks off
--- a/packages/gentianpoint-entry/features/forwarding/target_selection.feature
+++ b/packages/gentianpoint-entry/features/forwarding/target_selection.feature
@@ -1,12 +1,12 @@
-Feature: Which target gets a generation
+Feature: Selection of a target for a generation
 
-  Scenario Outline: the better of two
-    Engines differ in what they have taken on, and an entry knows it by
-    reports, by what it has sent, and by failures. Work that goes to the
-    wrong one waits there or drives another generation out of memory.
+  Scenario Outline: the less loaded of two engines
+    Guards against an engine that is chosen although its reports, the requests
+    sent to it or its failures show that it is overloaded. The generation would
+    wait there, or preempt another one for lack of memory.
     Given an engine a with <a>
     And an engine b with <b>
-    When 40 generations are placed without sending
+    When 40 generations are placed without sending them
     Then all of them go to b
 
     Examples:
@@ -22,9 +22,9 @@
       | reported 7000        | memory 0.2     |
 
   Scenario: prompts that an entry has sent since the report
-    An engine starts empty. What this entry has sent there since its report
-    stands for as much as what the report tells; else all of it would go on
-    there, and first events would come seconds late.
+    Guards against an entry that sends everything to an engine whose last
+    report shows it empty. Prompts sent since that report count like those in
+    it; otherwise first events come seconds late.
     Given an engine a with memory 0.0
     And an engine b with memory 0.3
     When 4000 prompt tokens were sent to a since its report
@@ -32,14 +32,14 @@
     Then all of them go to b
 
   Scenario Outline: an empty engine among others
-    An engine joins, and all entries see it empty until its next report gets
-    around. If each sent it what it has, the engine would get all that arrives
-    meanwhile, and read prompts for seconds while the others idle.
+    Guards against all entries sending everything to an engine that has just
+    joined and looks empty until its next report arrives. It would process
+    prompts for seconds while the others idle.
     Given an engine a with memory 0.0
     And an engine b with running 2
     And an engine c with running 2
     And an engine d with running 2
-    When 40 generations are placed by reports of <age> ms while other entries place <rate> a second
+    When 40 generations are placed by reports <age> ms old while other entries place <rate> a second
     Then between <least> and <most> of them go to a
 
     Examples:
@@ -50,10 +50,10 @@
       | 400 | 28   | 8     | 24   |
       | 800 | 60   | 4     | 18   |
 
-  Scenario Outline: targets that get nothing
+  Scenario Outline: targets that are not selected
     Given an engine a with <a>
     And an engine b with memory 0.9
-    When 40 generations are placed without sending
+    When 40 generations are placed without sending them
     Then all of them go to b
 
     Examples:
@@ -62,13 +62,13 @@
       | a leaving entry |
       | a replacement  |
 
-  Scenario: equals share
-    Reports are old when they come, and all entries see the same ones. If all
-    took the first of equals, they would all run to it.
+  Scenario: equally loaded engines share the generations
+    Reports are old when they arrive, and all entries see the same ones. If
+    each entry took the first of several equals, that one would be overloaded.
     Given an engine a with memory 0.3
     And an engine b with memory 0.3
-    When 40 generations are placed without sending
-    Then each of them gets some
+    When 40 generations are placed without sending them
+    Then each engine gets some of them
 
   Scenario Outline: copies only where there is room
     Given an engine a with memory 0.1
@@ -83,13 +83,13 @@
       | notice     | none   |
 
   Scenario Outline: copies while engines are given notice
-    Engines are taken away every few seconds. Copies that may never be needed
-    would fill the memory and the links of those that are left, and the
-    generations that have to move would be lost for lack of both.
+    Where engines get notice every few seconds, copies that may never be needed
+    fill the memory and the links of the engines that stay, and generations
+    that have to move are lost for lack of both.
     Given an engine a with memory 0.1
     And an engine b with memory 0.1
     When an engine was given notice <ago> seconds ago
-    And a backup is chosen for a generation at a by the entry
+    And the entry chooses a backup for a generation at a
     Then it is <backup>
 
     Examples:
@@ -98,15 +98,15 @@
       | 11  | b      |
 
   Scenario Outline: a destination near by when time is short
-    An engine has two seconds' notice and seven generations, and a copy takes
-    twice as long between data centres. The near engine, though fuller, lets
-    more of them go before the end; with two generations there is time. An
-    engine that has just started far away is empty, and would draw them all:
-    those that wait for their turn behind such copies would be lost.
+    An engine has two seconds of notice, and a copy takes twice as long between
+    data centres. With seven generations, the near engine saves more of them,
+    although it is fuller; with two there is enough time. Guards against an
+    engine that has just started far away and attracts all of them because it
+    is empty: those that wait behind such copies would be lost.
     Given an engine a with running <running>
     And an engine near with <load>
     And an engine far with another data centre
-    And a copy of a generation takes 200 ms near by
+    And a copy of a generation takes 200 ms within a data centre
     When a leaves in 1900 ms and a destination is chosen
     Then it is <destination>
 
@@ -118,9 +118,9 @@
       | 2       | running 2   | far         |
 
   Scenario Outline: destinations of engines that leave together
-    Several engines get notice at once. If all moved their generations to the
-    one that looks emptiest, copies would wait on its link until the end of
-    the notice, and the last ones would be lost.
+    Guards against several engines, given notice at once, whose generations all
+    move to the engine that looks emptiest. The copies would queue on its link
+    until the notice is over, and the last ones would be lost.
     Given an engine a with notice
     And an engine b with <b>
     And an engine c with memory 0.1
@@ -138,7 +138,7 @@
       | notice     | notice     | e      | c           |
       | memory 0.5 | memory 0.5 | a      | c           |
 
-  Scenario: the own destination is full
+  Scenario: the assigned destination is full
     Given an engine a with notice
     And an engine b with notice
     And an engine c with memory 0.1
