--- a/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
@@ -59,7 +59,10 @@
 ) -> list[tuple[Generation, forwarding_builders.RecordedAnswer]]:
     """Serve each generation alone, and return what its caller received."""
     return [
-        (generation, topic_builders.run_on_clock(_serve, generation, leave_ms))
+        (
+            generation,
+            topic_builders.run_on_mock_clock(_serve, generation, leave_ms),
+        )
         for generation in generations
     ]
 
@@ -95,7 +98,7 @@
 ) -> list[float]:
     """Return when callers that a leaving entry refuses should come back."""
     return [
-        topic_builders.run_on_clock(
+        topic_builders.run_on_mock_clock(
             _refuse, near, far, leave_ms, needed_ms, seed
         )
         for seed in range(_REQUEST_COUNT)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -75,7 +75,7 @@
         source: targets.Target,
         choose_destination: abc.Callable[[], typing.Optional[targets.Target]],
         request_id: str,
-        shape: routes.EngineShape,
+        shape: routes.EngineSpec,
         count_memory: abc.Callable[[], int],
     ) -> None:
         """Move from ``source`` to a destination chosen when the turn comes.
@@ -107,7 +107,7 @@
         turns = await self._find_turns()
         if turns is not None:
             self._turns = turns
-            await turns.wait_turn(
+            await turns.wait_for_turn(
                 self._request_id, self._count_memory(), self._is_agent_alive
             )
         # Chosen only now: a target that had room when the move was requested
@@ -183,7 +183,7 @@
         report = self._source.report
         if report is None:
             return False
-        return trio.current_time() - report.received_at < _AGENT_TIMEOUT_S
+        return trio.current_time() - report.sampled_at < _AGENT_TIMEOUT_S
 
     def release_turn(self) -> None:
         """Give the turn back, whatever the outcome of the move."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -99,7 +99,7 @@
             _HANDOVER_LEAD_MS + shared.rng.random() * _HANDOVER_JITTER_MS
         )
         self._timing: typing.Final = stream_timing.StreamTiming(
-            request.route, shared.measures, trio.current_time()
+            request.route, shared.metrics, trio.current_time()
         )
 
     async def serve(self) -> typing.Optional[refusals.Refusal]:
@@ -374,7 +374,7 @@
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Return a run elsewhere if the target leaves, else None."""
         target = run.target
-        if target.takes_work() or self._request.route.may_repeat():
+        if target.accepts_work() or self._request.route.may_repeat():
             # A stream that may be run again is run again once it breaks off.
             return None
         left_ms = _find_time_left_ms(target)
@@ -390,7 +390,7 @@
 
     def _has_backup(self, run: stream_runs.StreamRun) -> bool:
         """Tell whether the backup can be expected to hold a copy."""
-        if run.backup is None or not run.backup.takes_work():
+        if run.backup is None or not run.backup.accepts_work():
             return False
         return trio.current_time() - run.began_at >= _BACKUP_READY_AGE_S
 
@@ -417,7 +417,7 @@
         self,
         run: stream_runs.StreamRun,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Copy the memory while the generation runs, then switch targets."""
         if self._had_no_room_after_stop:
@@ -457,7 +457,7 @@
         self,
         target: targets.Target,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> generation_moves.GenerationMove:
         def count_memory() -> int:
             made = self._timing.events * engine.event_tokens
@@ -484,7 +484,7 @@
     def _log_move(
         self, source: targets.Target, destination: targets.Target, way: str
     ) -> None:
-        self._shared.measures.record_move(way)
+        self._shared.metrics.record_move(way)
         logs.log_event(
             events.GENERATION_MOVED,
             source=source.target_id,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_runs.py
@@ -131,9 +131,13 @@
         """Add the prompt to those that the target has yet to process."""
         if self._options.copy is None:
             self._has_pending_prompt = True
-            self.target.unread_prompt_tokens += self._request.prompt_tokens
+            self.target.own_pending_prefill_tokens += (
+                self._request.prompt_tokens
+            )
 
     def _remove_pending_prompt(self) -> None:
         if self._has_pending_prompt:
             self._has_pending_prompt = False
-            self.target.unread_prompt_tokens -= self._request.prompt_tokens
+            self.target.own_pending_prefill_tokens -= (
+                self._request.prompt_tokens
+            )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
@@ -93,7 +93,7 @@
     score = 0.0
     if target.entry.data_centre != data_centre:
         score += distance_cost
-    if now < target.slow_until:
+    if now < target.slow_start_until:
         score += _SLOW_COST
     if target.failures and now - target.failed_at < _FAILURE_WINDOW_S:
         score += _FAILURE_COST * min(3, target.failures)
@@ -101,13 +101,13 @@
         score += _SILENT_COST
     score += _score_slots(target, entry_count)
     if request.service.engine is not None:
-        score += _count_unread_tokens(target) / _UNREAD_TOKENS_SCALE
+        score += _count_pending_prefill_tokens(target) / _UNREAD_TOKENS_SCALE
         score += _score_memory(target, request, entry_count)
         score += _count_running(target) / _RUNNING_SCALE
     return score
 
 
-def _count_unread_tokens(target: targets.Target) -> int:
+def _count_pending_prefill_tokens(target: targets.Target) -> int:
     """Return the prompt tokens that an engine has yet to process.
 
     If each entry counted only its own prompts, all entries would keep sending
@@ -115,9 +115,9 @@
     """
     report = target.report
     if report is None:
-        return target.unread_prompt_tokens
-    seen = report.unread_tokens + target.prompt_tokens_since_report
-    return max(target.unread_prompt_tokens, seen)
+        return target.own_pending_prefill_tokens
+    seen = report.pending_prefill_tokens + target.prompt_tokens_since_report
+    return max(target.own_pending_prefill_tokens, seen)
 
 
 def _score_slots(target: targets.Target, entry_count: int) -> float:
@@ -186,7 +186,7 @@
             target,
         )
         for target in candidates
-        if target.takes_work()
+        if target.accepts_work()
     ]
     if not scored:
         return None
@@ -207,7 +207,7 @@
 ) -> float:
     """Return the mean age of the reports in seconds, 0 without reports."""
     ages = [
-        max(0.0, now - target.report.received_at)
+        max(0.0, now - target.report.sampled_at)
         for _, target in scored
         if target.report is not None
     ]
