--- a/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
@@ -206,7 +206,7 @@
 )
 def set_copy_time(context, copy_ms):
     # 200 tokens over a link of 1 Mbit/s.
-    context.shape = forwarding_builders.ENGINE._replace(
+    context.engine_spec = forwarding_builders.ENGINE._replace(
         token_bytes=copy_ms * 1000 / 8 / 200, link_mbps=1.0
     )
 
@@ -216,7 +216,7 @@
     runner = context.engines["a"]
     runner.leaves_at = deadlines.Deadline(_NOW + left_ms / 1000)
     request = make_request(context)
-    service = request.service._replace(engine=context.shape)
+    service = request.service._replace(engine=context.engine_spec)
     chosen = target_selection.choose_copy_destination(
         context.engines.values(),
         runner,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarder.py
@@ -38,7 +38,7 @@
 
 
 class Forwarder:
-    """Chooses targets, sends requests to them and keeps count of both."""
+    """Chooses targets, sends requests to them and tracks their load."""
 
     def __init__(
         self,
@@ -49,19 +49,21 @@
         count_entries: abc.Callable[[], int],
         rng: random.Random,
         metrics: entry_metrics.EntryMetrics,
-        count_sharing: typing.Optional[abc.Callable[[], int]] = None,
+        count_retry_sharers: typing.Optional[abc.Callable[[], int]] = None,
     ) -> None:
         """Serve from ``data_centre`` as one of ``count_entries()`` entries.
 
-        ``count_sharing`` returns how many entries share the limit on retries,
-        if that differs.
+        ``count_retry_sharers`` returns how many entries share the limit on
+        retries, if that differs.
         """
         self.registry: typing.Final = registry
         self.calls: typing.Final = calls
         self.limits: typing.Final = limits
         self.data_centre: typing.Final = data_centre
         self.count_entries: typing.Final = count_entries
-        self._count_sharing: typing.Final = count_sharing or count_entries
+        self._count_retry_sharers: typing.Final = (
+            count_retry_sharers or count_entries
+        )
         self.rng: typing.Final = rng
         self.metrics: typing.Final = metrics
         self._arrival_rate: typing.Final = arrivals.ArrivalRate()
@@ -265,7 +267,9 @@
     def take_retry(self, request: requests.CallerRequest) -> bool:
         """Take one retry of the request's service, if its limit allows it."""
         if self.limits.take_retry(
-            request.service.name, trio.current_time(), self._count_sharing()
+            request.service.name,
+            trio.current_time(),
+            self._count_retry_sharers(),
         ):
             return True
         logs.log_event(events.RETRY_BUDGET_SPENT, service=request.service.name)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -49,6 +49,7 @@
 """Seconds allowed for connecting to the agent; a tenth of the shortest
 notices."""
 _POLL_INTERVAL_S: typing.Final = 0.01
+"""Seconds between checks for the connection to the agent."""
 
 
 class _Stage(enum.Enum):
@@ -75,7 +76,7 @@
         source: targets.Target,
         choose_destination: abc.Callable[[], typing.Optional[targets.Target]],
         request_id: str,
-        shape: routes.EngineSpec,
+        engine_spec: routes.EngineSpec,
         count_memory: abc.Callable[[], int],
     ) -> None:
         """Move from ``source`` to a destination chosen when the turn comes.
@@ -88,7 +89,7 @@
         self._choose_destination: typing.Final = choose_destination
         self.destination: typing.Optional[targets.Target] = None
         self._request_id: typing.Final = request_id
-        self._shape: typing.Final = shape
+        self._engine_spec: typing.Final = engine_spec
         self._count_memory: typing.Final = count_memory
         self._turns: typing.Optional[agent_turns.AgentTurns] = None
         self._stage = _Stage.COPYING
@@ -134,10 +135,10 @@
             await self._copy_to(self.destination, limit)
 
     async def _find_turns(self) -> typing.Optional[agent_turns.AgentTurns]:
-        """Return where turns are requested, None without an agent.
+        """Return the agent's turns to move, or None without an agent.
 
-        If another entry forwarded the notice, the connection to the agent is
-        only being opened.
+        If another entry forwarded the notice, the connection to the agent may
+        still be opening.
         """
         with trio.move_on_after(_AGENT_CONNECT_S):
             while self._source.turns is None and self._is_agent_alive():
@@ -173,7 +174,7 @@
 
     def _estimate_copy_ms(self, destination: targets.Target) -> float:
         """Return how long copying the whole memory takes, 0 if unknown."""
-        need_ms = self._shape.estimate_copy_ms(self._count_memory())
+        need_ms = self._engine_spec.estimate_copy_ms(self._count_memory())
         here = self._source.entry.data_centre
         if destination.entry.data_centre != here:
             need_ms *= target_selection.DISTANCE_COPY_FACTOR
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/leaving.py
@@ -90,8 +90,8 @@
 
     ``near`` holds for each entry of this data centre how many milliseconds it
     has been leaving, None for one that stays, and ``far`` the same for other
-    data centres. Each leaves within ``leave_ms``, and until then accepts what
-    ends within ``needed_ms`` as long as that fits.
+    data centres. Each leaves within ``leave_ms``, and until then accepts
+    requests that take ``needed_ms`` as long as that much time is left.
 
     A caller that returns may reach any entry of its data centre, so half of
     them have to accept the request: a second refusal may be the caller's last.
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/move_destinations.py
@@ -2,9 +2,9 @@
 
 If several engines get notice at once, the entries would move all of their
 generations to the few engines that look emptiest. Copies to one engine queue
-on its link, so most of a notice of two seconds passes meanwhile, and
-generations pause or are lost. So each leaving engine has destinations of its
-own, by a rule that all entries compute alike from the same list.
+on its link, so most of a notice of two seconds passes, and generations pause
+or are lost. Therefore each leaving engine has its own destinations, by a rule
+that all entries compute alike from the same list.
 """
 
 from collections import abc
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/refusals.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/refusals.py
@@ -11,11 +11,11 @@
 
 __all__ = (
     "BAD_GATEWAY",
-    "UNAUTHORIZED",
     "GATEWAY_TIMEOUT",
     "NOT_FOUND",
     "NOT_RUN",
     "Refusal",
+    "UNAUTHORIZED",
     "choose_retry_after_ms",
     "refuse_not_run",
     "refuse_outcome_unknown",
@@ -23,14 +23,17 @@
 )
 
 NOT_RUN: typing.Final = 503
+"""Status for a request that has not run and never will."""
 BAD_GATEWAY: typing.Final = 502
+"""Status for a request that may have run and whose answer was lost."""
 GATEWAY_TIMEOUT: typing.Final = 504
+"""Status for a request that got no answer in time and may have run."""
 NOT_FOUND: typing.Final = 404
 UNAUTHORIZED: typing.Final = 401
 
 _MIN_RETRY_MS: typing.Final = 150.0
 """Least time, in milliseconds, after which callers are told to come back.
-Before it, what refused them still lasts."""
+Sooner, they would be refused for the same reason."""
 _MAX_RETRY_MS: typing.Final = 2500.0
 """Longest time, in milliseconds, after which callers are told to come back,
 unless a refusal says otherwise. Load and faults change within seconds and
@@ -50,11 +53,12 @@
     retry_after_ms: float
     """Milliseconds after which to come back; 0 if not said."""
     max_retry_after_ms: float = _MAX_RETRY_MS
-    """Longest time, in milliseconds, by which coming back may be delayed."""
+    """Longest time, in milliseconds, after which the caller may be told to
+    come back, before jitter."""
 
 
 def choose_retry_after_ms(
-    refusal: Refusal, left_ms: float, source: random.Random
+    refusal: Refusal, left_ms: float, rng: random.Random
 ) -> float:
     """Return in how many milliseconds a caller should come back.
 
@@ -63,7 +67,7 @@
     """
     base = max(refusal.retry_after_ms, _MIN_RETRY_MS)
     base = min(base, refusal.max_retry_after_ms)
-    base *= 1 + _JITTER * source.random()
+    base *= 1 + _JITTER * rng.random()
     return min(base, max(1.0, left_ms / 3))
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -52,6 +52,7 @@
 silent stream continues elsewhere. The pause of a preempted generation is
 shorter if its prompt is processed again at once."""
 _MIN_SILENCE_MS: typing.Final = 900.0
+"""Least silence, in milliseconds, after which a stream continues elsewhere."""
 _FIRST_EVENT_FACTOR: typing.Final = 1.5
 """Multiple of the route's objective after which a stream that may be run again
 is sent to another target, if it has no event yet."""
@@ -250,11 +251,11 @@
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Forward a run's events; return the next run, or None at the end."""
         failure: typing.Optional[Exception] = run.make_silence_error()
-        following = None
+        next_run = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cancel_when_silent, run, nursery)
             try:
-                following = await self._forward_events(run, nursery)
+                next_run = await self._forward_events(run, nursery)
                 failure = None
             except _STREAM_ERRORS as error:
                 # Raised below: a nursery would wrap it in an exception group.
@@ -262,26 +263,26 @@
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
-        if following is None:
+        if next_run is None:
             self._shared.note_success(run.target)
-        self._release_copies(run, following)
-        return following
+        self._release_copies(run, next_run)
+        return next_run
 
     def _release_copies(
         self,
         run: stream_runs.StreamRun,
-        following: typing.Optional[stream_runs.StreamRun],
+        next_run: typing.Optional[stream_runs.StreamRun],
     ) -> None:
         """Release copies that will not be used, since they occupy memory.
 
-        The backup's copy is released without a call when the run ends
-        normally, and used when the run continues there. After a move to
-        another target it is left over.
+        The backup releases its copy by itself when the run ends normally, and
+        uses it when the run continues there. After a move to another target
+        the copy is left over.
         """
         unused = "" if self._move is None else self._move.take_unused_handle()
         if unused:
             self._shared.schedule_copy_release(run.target, unused)
-        if following is not None and run.backup is not None:
+        if next_run is not None and run.backup is not None:
             self._shared.schedule_copy_release(
                 run.backup, self._request.request_id
             )
@@ -318,9 +319,9 @@
         """Forward events until the end, or until another run takes over."""
         async for event in run.iterate_events():
             await self._forward_event(run, event)
-            following = await self._hand_over(run, nursery)
-            if following is not None:
-                return following
+            next_run = await self._hand_over(run, nursery)
+            if next_run is not None:
+                return next_run
         return None
 
     async def _forward_event(
@@ -375,7 +376,8 @@
         """Return a run elsewhere if the target leaves, else None."""
         target = run.target
         if target.accepts_work() or self._request.route.may_repeat():
-            # A stream that may be run again is run again once it breaks off.
+            # A repeatable stream needs no handover: it is run again once it
+            # breaks off.
             return None
         left_ms = _find_time_left_ms(target)
         is_due = left_ms is None or left_ms <= self._handover_lead_ms
@@ -407,11 +409,11 @@
         run.backup = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_close_after, run, _MAX_OVERLAP_S)
-            following = await self._open(self._plan_from_backup(backup))
+            next_run = await self._open(self._plan_from_backup(backup))
             nursery.cancel_scope.cancel()
-        if following is not None:
+        if next_run is not None:
             self._log_move(run.target, backup, "backup")
-        return following
+        return next_run
 
     async def _advance_move(
         self,
@@ -447,10 +449,10 @@
             candidates.insert(0, self._move.destination)
         for target in candidates:
             plan = self._plan_from_copy(target, stopped.copy)
-            following = await self._open(plan)
-            if following is not None:
+            next_run = await self._open(plan)
+            if next_run is not None:
                 self._log_move(run.target, target, "move")
-                return following
+                return next_run
         return None
 
     def _start_move(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
@@ -55,7 +55,7 @@
 
 
 class CopyResult(typing.NamedTuple):
-    """A generation's memory, as copied to another target."""
+    """The result of copying a generation's memory to another target."""
 
     handle: str
     """Name of the copy at the source; empty if none was made."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_selection.py
@@ -54,8 +54,8 @@
 """Score of a request that would overflow the memory. That leads to preemption,
 which costs more than waiting behind other requests."""
 _UNREAD_TOKENS_SCALE: typing.Final = 7000.0
-"""Unread prompt tokens that score like all slots taken. At fourteen tokens a
-millisecond they delay the next first token by half a second."""
+"""Prompt tokens awaiting prefill that score like all slots taken. At fourteen
+tokens a millisecond they delay the next first token by half a second."""
 MAX_USED_SHARE_FOR_BACKUPS: typing.Final = 0.4
 """Share of a target's memory up to which it accepts copies of generations that
 may never be needed. The rest is for generations that run there or move
@@ -89,7 +89,11 @@
     now: float,
     distance_cost: float = _DISTANCE_COST,
 ) -> float:
-    """Return how loaded a target is; 0 is an idle one in ``data_centre``."""
+    """Return the load score of a target; lower is better.
+
+    An idle target in ``data_centre`` scores 0. A target whose slots are all
+    taken scores 1 for that, and the other terms are weighed against it.
+    """
     score = 0.0
     if target.entry.data_centre != data_centre:
         score += distance_cost
@@ -265,12 +269,12 @@
         if item is not runner
         and _estimate_used_share(item, request, 1) <= max_used_share
     ]
-    near = runner.entry.data_centre
+    data_centre = runner.entry.data_centre
     distance_cost = _calculate_distance_cost(runner, request, now)
     return choose_target(
         others,
         request,
-        near,
+        data_centre,
         entry_count,
         now,
         rng,
