--- a/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/leaving_builders.py
@@ -39,12 +39,12 @@
 
 def draw_generations(most_tokens: int, seed: int) -> list[Generation]:
     """Return generations whose estimates are right only at the median."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     drawn = []
     most_events = most_tokens // ENGINE.event_tokens
     for number in range(_REQUEST_COUNT):
-        events = source.randint(1, most_events)
-        factor = source.lognormvariate(0, _ESTIMATE_SPREAD)
+        events = rng.randint(1, most_events)
+        factor = rng.lognormvariate(0, _ESTIMATE_SPREAD)
         estimate = round(events * ENGINE.event_tokens * factor)
         likely_tokens = max(1, min(estimate, most_tokens))
         generation = Generation(
@@ -76,7 +76,7 @@
     shared = forwarding_builders.make_forwarder(["a"], calls)
     route = forwarding_builders.make_route(routes.RouteKind.STREAM)
     ends_at = trio.current_time() + leave_ms / 1000
-    handling = request_handling.RequestHandler(
+    handler = request_handling.RequestHandler(
         shared, forwarding_builders.send_refusal, lambda: ends_at
     )
     await trio.sleep(generation.arrives_at * leave_ms / 1000)
@@ -86,7 +86,7 @@
         most_output_tokens=generation.most_tokens,
     )
     with trio.CancelScope(deadline=ends_at):
-        await handling.serve(request, answer)
+        await handler.serve(request, answer)
     return answer
 
 
@@ -123,7 +123,7 @@
         [], forwarding_builders.ScriptedCalls()
     )
     shared.rng.seed(seed)
-    handling = request_handling.RequestHandler(
+    handler = request_handling.RequestHandler(
         shared,
         record_refusal,
         trio.current_time,
@@ -134,6 +134,6 @@
     )
     long_deadline = deadlines.make_deadline(60000)
     request = request._replace(caller_deadline=long_deadline)
-    await handling.serve(request, forwarding_builders.RecordedAnswer())
+    await handler.serve(request, forwarding_builders.RecordedAnswer())
     (returns_ms,) = delays_ms
     return returns_ms
--- a/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
@@ -27,16 +27,16 @@
     async def run():
         shared = forwarding_builders.make_forwarder(["a"], context.calls)
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandler(
+        handler = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
         request = forwarding_builders.make_request(
             context.route, leaving_builders.ENGINE
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(handling.serve, request, context.answer)
+            nursery.start_soon(handler.serve, request, context.answer)
             await trio.sleep_until(ends_at)
-            await handling.give_up_unanswered()
+            await handler.give_up_unanswered()
             nursery.cancel_scope.cancel()
 
     topic_builders.run_on_mock_clock(run)
@@ -78,10 +78,10 @@
             most_output_tokens=max(context.tokens, request.most_output_tokens),
         )
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandler(
+        handler = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
-        await handling.serve(request, context.answer)
+        await handler.serve(request, context.answer)
 
     with testing.capture_logs() as lines:
         topic_builders.run_on_mock_clock(run)
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -108,7 +108,7 @@
         request = forwarding_builders.make_request(
             context.route, context.engine
         )
-        handling = request_handling.RequestHandler(
+        handler = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, find_shutdown_time
         )
         began = trio.current_time()
@@ -117,7 +117,7 @@
             if number is not None:
                 nursery.start_soon(change, context, shared, number)
             with trio.move_on_after(timeout_s):
-                await handling.serve(request, context.answer)
+                await handler.serve(request, context.answer)
             context.took_s = trio.current_time() - began
             nursery.cancel_scope.cancel()
 
@@ -259,12 +259,14 @@
 
 @behave.then("its memory was copied {way}")
 def check_copies(context, way):
-    stops = {
+    expected_flags = {
         "ahead and once more at the end": [False, True],
         "after the stop only": [True],
         "not at all": [],
     }
-    assert context.calls.stop_flags == stops[way], context.calls.stop_flags
+    assert context.calls.stop_flags == expected_flags[way], (
+        context.calls.stop_flags
+    )
 
 
 @behave.when("the request is served until {who} after {wait_ms:d} ms")
