--- a/packages/gentianpoint-entry/features/forwarding/forwarding_entry.feature
+++ b/packages/gentianpoint-entry/features/forwarding/forwarding_entry.feature
@@ -1,8 +1,8 @@
 Feature: An entry that is told to stop
 
-  Scenario Outline: a request has no answer yet as its entry ends
-    Guards against a connection that is cut without an answer: the caller
-    could not tell whether its request was read.
+  Scenario Outline: a request has no answer yet when its entry stops
+    Guards against a connection that is closed without an answer, so that the
+    caller can't tell whether its request was read.
     Given a <kind> at an entry that stops within 1000 ms
     And target a answers: <words>
     When the entry is told to stop while the request is served
@@ -14,13 +14,14 @@
       | generation | mute  |
       | generation | events 1-0 then silence |
 
-  Scenario Outline: a second signal while an entry leaves
-    Guards against a process that ends at once, or as if it was killed.
+  Scenario Outline: a second signal while an entry shuts down
+    Guards against a second signal that ends the process at once, or that makes
+    it look as if it had been killed.
     Given a plain call at an entry that stops within 1000 ms
     And target a answers: mute
-    When the entry is told to stop, and gets <signal> while it leaves
+    When the entry is told to stop, and gets <signal> while it shuts down
     Then the caller reads an answer with status 504
-    And the entry has left in good order
+    And the entry has shut down gracefully
 
     Examples:
       | signal  |
--- a/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/agent_turns_steps.py
@@ -1,4 +1,4 @@
-"""Steps for waiting for turns."""
+"""Steps for waiting for an agent's turn to move a generation."""
 
 import types
 
@@ -11,23 +11,23 @@
 LONGEST_S = 10.0
 
 
-@behave.given("an agent that is heard and gives no turn")
+@behave.given("an agent that keeps reporting and grants no turn")
 def make_slow_agent(context):
-    context.heard_s = LONGEST_S * 2
+    context.reports_until_s = LONGEST_S * 2
     context.turn_s = LONGEST_S * 2
 
 
 @behave.given(
-    "an agent that gives no turn and is no longer heard after a second"
+    "an agent that grants no turn and stops reporting after a second"
 )
-def make_silent_agent(context):
-    context.heard_s = 1.0
+def make_stopped_agent(context):
+    context.reports_until_s = 1.0
     context.turn_s = LONGEST_S * 2
 
 
-@behave.given("an agent that gives the turn after {wait_ms:d} ms")
-def make_good_agent(context, wait_ms):
-    context.heard_s = LONGEST_S * 2
+@behave.given("an agent that grants the turn after {wait_ms:d} ms")
+def make_granting_agent(context, wait_ms):
+    context.reports_until_s = LONGEST_S * 2
     context.turn_s = wait_ms / 1000
 
 
@@ -37,19 +37,19 @@
         began = trio.current_time()
         turns = agent_turns.AgentTurns(types.SimpleNamespace())
 
-        def is_heard():
-            return trio.current_time() - began < context.heard_s
+        def is_agent_reporting():
+            return trio.current_time() - began < context.reports_until_s
 
-        async def give_turn():
+        async def grant_turn():
             await trio.sleep(context.turn_s)
             turns.mark_granted("request")
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(give_turn)
+            nursery.start_soon(grant_turn)
             with trio.move_on_after(LONGEST_S) as scope:
-                await turns.wait_for_turn("request", 100, is_heard)
+                await turns.wait_for_turn("request", 100, is_agent_reporting)
             nursery.cancel_scope.cancel()
-        context.has_waited_on = scope.cancelled_caught
+        context.has_timed_out = scope.cancelled_caught
         context.took_ms = (trio.current_time() - began) * 1000
 
     topic_builders.run_on_clock(run)
@@ -57,10 +57,10 @@
 
 @behave.then("it still waits after ten seconds")
 def check_waiting(context):
-    assert context.has_waited_on
+    assert context.has_timed_out
 
 
 @behave.then("it goes on within {most_ms:d} ms")
 def check_going_on(context, most_ms):
-    assert not context.has_waited_on
+    assert not context.has_timed_out
     assert context.took_ms <= most_ms, context.took_ms
--- a/packages/gentianpoint-entry/features/forwarding/steps/agent_watch_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/agent_watch_steps.py
@@ -13,10 +13,10 @@
 
 AGENT = "10.9.0.1:7000"
 _NOW = 5000.0
-_QUIET_S = {
-    "that is heard": 0.2,
-    "of which nothing was heard for 4 seconds": 4.0,
-    "of which nothing was heard for an hour": 3600.0,
+_REPORT_AGE_S = {
+    "that reports": 0.2,
+    "whose last report is 4 seconds old": 4.0,
+    "whose last report is an hour old": 3600.0,
 }
 
 
@@ -38,7 +38,9 @@
     }
     context.target = targets.Target(forwarding_builders.make_entry("a"), 0.0)
     context.target.take_report(
-        fleet_builders.make_report(number=1, made_at=_NOW - _QUIET_S[state])
+        fleet_builders.make_report(
+            number=1, made_at=_NOW - _REPORT_AGE_S[state]
+        )
     )
 
 
@@ -47,7 +49,7 @@
     found = [
         address
         for address, watch in context.watches.items()
-        if watch.wants(AGENT, context.target, _NOW)
+        if watch.should_connect(AGENT, context.target, _NOW)
     ]
     assert len(found) == count, found
 
@@ -58,7 +60,7 @@
     busy = re.search(r"for ([0-9.]+) s", state)
     if busy is not None:
         context.target.open_request(_NOW - float(busy[1]), 100)
-    if "as it leaves" in state:
+    if "as it gets notice" in state:
         context.target.take_report(
             fleet_builders.make_report(number=2, made_at=_NOW, is_leaving=True)
         )
@@ -67,5 +69,5 @@
 @behave.then("it {outcome} connected to the agent")
 def check_connected(context, outcome):
     watch = context.watches[context.last]
-    is_wanted = watch.wants(AGENT, context.target, _NOW)
-    assert is_wanted == (outcome == "is"), outcome
+    is_connected = watch.should_connect(AGENT, context.target, _NOW)
+    assert is_connected == (outcome == "is"), outcome
--- a/packages/gentianpoint-entry/features/forwarding/steps/caller_connections_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/caller_connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps for callers' connections, over sockets of this host."""
+"""Steps for callers' connections, over loopback sockets."""
 
 import contextlib
 import json
@@ -13,43 +13,44 @@
 _LIMITS = routes.CallerLimits(
     header_bytes=4096, body_bytes=1000, header_ms=2000, idle_ms=2000
 )
-_KEPT = "Host: a\r\n"
-_HEAD = f"{_KEPT}Connection: close\r\n"
-"""Closing shows a reader the end without any waiting."""
+_KEEP = "Host: a\r\n"
+_CLOSE = f"{_KEEP}Connection: close\r\n"
+"""The server closes the connection, so that readers see the end at once."""
 _FORMS = {
-    "request on a kept connection": f"GET /a/b HTTP/1.1\r\n{_KEPT}\r\n",
-    "plain request": f"GET /a/b HTTP/1.1\r\n{_HEAD}\r\n",
-    "request with odd path": f"GET /a%2Fb/? HTTP/1.1\r\n{_HEAD}\r\n",
-    "request with a query": f"GET /a?x=1&&y=% HTTP/1.1\r\n{_HEAD}\r\n",
+    "request on a kept-alive connection": f"GET /a/b HTTP/1.1\r\n{_KEEP}\r\n",
+    "plain request": f"GET /a/b HTTP/1.1\r\n{_CLOSE}\r\n",
+    "request with an odd path": f"GET /a%2Fb/? HTTP/1.1\r\n{_CLOSE}\r\n",
+    "request with a query": f"GET /a?x=1&&y=% HTTP/1.1\r\n{_CLOSE}\r\n",
     "request with a length": (
-        f"POST /a HTTP/1.1\r\n{_HEAD}Content-Length: 5\r\n\r\nhello"
+        f"POST /a HTTP/1.1\r\n{_CLOSE}Content-Length: 5\r\n\r\nhello"
     ),
     "request in chunks": (
-        f"POST /a HTTP/1.1\r\n{_HEAD}Transfer-Encoding: chunked\r\n\r\n"
+        f"POST /a HTTP/1.1\r\n{_CLOSE}Transfer-Encoding: chunked\r\n\r\n"
         "2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"
     ),
-    "head that is none": "what is this\r\n\r\n",
+    "malformed head": "what is this\r\n\r\n",
     "body over the limit": (
-        f"POST /a HTTP/1.1\r\n{_HEAD}Content-Length: 2000\r\n\r\n" + "x" * 2000
+        f"POST /a HTTP/1.1\r\n{_CLOSE}Content-Length: 2000\r\n\r\n"
+        + "x" * 2000
     ),
-    "chunk that is none": (
-        f"POST /a HTTP/1.1\r\n{_HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\n"
+    "malformed chunk": (
+        f"POST /a HTTP/1.1\r\n{_CLOSE}Transfer-Encoding: chunked\r\n\r\nzz\r\n"
     ),
 }
 
 
-@behave.given("a handler that repeats what it was given")
-def make_repeating(context):
+@behave.given("a handler that echoes the request")
+def make_echoing(context):
     async def handle(request, answer):
-        given = {
+        echo = {
             "method": request.method.decode(),
             "target": request.target.decode(),
             "body": request.body.decode(),
         }
-        await answer.send_whole(200, (), json.dumps(given).encode())
+        await answer.send_whole(200, (), json.dumps(echo).encode())
 
     context.handler = handle
-    context.is_leaving = False
+    context.is_shutting_down = False
 
 
 @behave.given("a handler that stops in the middle of its answer")
@@ -59,16 +60,16 @@
         await answer.send(b"half")
 
     context.handler = handle
-    context.is_leaving = False
+    context.is_shutting_down = False
 
 
-@behave.given("a handler that raises an error nobody expects")
+@behave.given("a handler that raises an unexpected error")
 def make_raising(context):
     async def handle(request, answer):
         raise ZeroDivisionError("a fault")
 
     context.handler = handle
-    context.is_leaving = False
+    context.is_shutting_down = False
 
 
 @behave.given("a handler that raises an error in the middle of its answer")
@@ -79,7 +80,7 @@
         raise ZeroDivisionError("a fault")
 
     context.handler = handle
-    context.is_leaving = False
+    context.is_shutting_down = False
 
 
 @behave.given("a handler whose answer is longer than its caller reads")
@@ -95,7 +96,7 @@
     context.handler = handle
 
 
-@behave.given("a handler that waits for ever")
+@behave.given("a handler that never returns")
 def make_waiting(context):
     context.was_cancelled = False
 
@@ -106,22 +107,26 @@
             context.was_cancelled = True
 
     context.handler = handle
-    context.is_leaving = False
+    context.is_shutting_down = False
 
 
-@behave.given("an entry that leaves")
-def set_leaving(context):
-    context.is_leaving = True
+@behave.given("an entry that shuts down")
+def set_shutting_down(context):
+    context.is_shutting_down = True
 
 
 def exchange(context, text, *, closes=False):
-    """Send a text and read what comes until the end or a pause."""
+    """Send a text and read the answers until the connection ends.
+
+    With ``closes``, close the connection instead and wait until the handler
+    is cancelled.
+    """
 
     async def run():
         connections = caller_connections.CallerConnections(
             context.handler, lambda: _LIMITS
         )
-        connections.is_leaving = context.is_leaving
+        connections.is_shutting_down = context.is_shutting_down
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         port = listener.socket.getsockname()[1]
         async with trio.open_nursery() as nursery:
@@ -166,7 +171,7 @@
 
 @behave.when("a caller sends two requests without waiting")
 def send_two(context):
-    first = _FORMS["request on a kept connection"]
+    first = _FORMS["request on a kept-alive connection"]
     exchange(context, first + _FORMS["request with a length"])
 
 
@@ -175,21 +180,23 @@
     return [json.loads(part.split("HTTP/1.1")[0]) for part in parts]
 
 
-@behave.then("it is given back as {method} {target} with the body {body}")
-def check_given(context, method, target, body):
-    wanted = {"method": method, "target": target, "body": body}
-    assert read_bodies(context) == [wanted], context.data
+@behave.then(
+    "the echo has the method {method}, target {target} and body {body}"
+)
+def check_echo(context, method, target, body):
+    expected = {"method": method, "target": target, "body": body}
+    assert read_bodies(context) == [expected], context.data
 
 
-@behave.then("it is given back as {method} {target} with the body ")
-def check_given_empty(context, method, target):
-    check_given(context, method, target, "")
+@behave.then("the echo has the method {method}, target {target} and body ")
+def check_empty_echo(context, method, target):
+    check_echo(context, method, target, "")
 
 
 @behave.then("both are answered in order")
 def check_both(context):
     bodies = read_bodies(context)
-    assert [given["method"] for given in bodies] == ["GET", "POST"], bodies
+    assert [body["method"] for body in bodies] == ["GET", "POST"], bodies
 
 
 @behave.then("it is answered with status {status:d} and the connection ends")
@@ -213,7 +220,7 @@
     assert b"connection: close" in context.data.lower()
 
 
-async def run_leaving(context, use):
+async def run_shutting_down(context, use):
     connections = caller_connections.CallerConnections(
         context.handler, lambda: _LIMITS
     )
@@ -231,18 +238,18 @@
 )
 def connect_then_send(context):
     async def use(stream, connections):
-        # The entry takes the connection meanwhile.
+        # Meanwhile the entry accepts the connection.
         await trio.sleep(0.1)
-        connections.is_leaving = context.is_leaving
+        connections.is_shutting_down = context.is_shutting_down
         connections.close_idle()
         await trio.sleep(0.1)
         await send_and_read(context, stream)
 
-    trio.run(run_leaving, context, use)
+    trio.run(run_shutting_down, context, use)
 
 
 async def send_and_read(context, stream):
-    # Where the entry has closed, what has come is looked at.
+    # If the entry has closed the connection, what was received is checked.
     with contextlib.suppress(trio.BrokenResourceError):
         await stream.send_all(_FORMS["plain request"].encode())
     await read_all(context, stream)
@@ -253,12 +260,16 @@
     assert context.data.startswith(b"HTTP/1.1 200 "), context.data
 
 
-@behave.when("a caller that has been answered sends again as idle ones close")
+@behave.when(
+    "a caller that was answered sends again as idle connections are closed"
+)
 def send_across_close(context):
     async def use(stream, connections):
-        await stream.send_all(_FORMS["request on a kept connection"].encode())
+        await stream.send_all(
+            _FORMS["request on a kept-alive connection"].encode()
+        )
         assert (await stream.receive_some(65536)).startswith(b"HTTP/1.1 200")
-        connections.is_leaving = context.is_leaving
+        connections.is_shutting_down = context.is_shutting_down
         await trio.sleep(0.1)
         connections.close_idle()
         await trio.sleep(0.1)
@@ -270,12 +281,12 @@
             context.was_reset = True
 
     context.was_reset = False
-    trio.run(run_leaving, context, use)
+    trio.run(run_shutting_down, context, use)
 
 
 @behave.then("its second request is not read")
 def check_unread(context):
-    # What comes at a closed socket is answered by a reset.
+    # The host answers data for a closed socket with a reset.
     assert context.was_reset
 
 
@@ -285,42 +296,42 @@
     half = len(text) - 2
 
     async def use(stream, connections):
-        connections.is_leaving = context.is_leaving
+        connections.is_shutting_down = context.is_shutting_down
         await stream.send_all(text[:half])
-        # A first request counts for a second in any case.
+        # A new connection counts as busy for a second in any case.
         await trio.sleep(1.2)
-        context.was_reading = connections.is_busy()
+        context.was_busy = connections.is_busy()
         await stream.send_all(text[half:])
         await read_all(context, stream)
         await trio.sleep(0.1)
-        context.is_busy_after = connections.is_busy()
+        context.is_still_busy = connections.is_busy()
 
-    trio.run(run_leaving, context, use)
+    trio.run(run_shutting_down, context, use)
 
 
 @behave.then("the entry counts as busy")
 def check_busy(context):
-    assert context.was_reading
+    assert context.was_busy
 
 
-@behave.then("it is busy no more once the caller has its answer")
-def check_answered_then_free(context):
+@behave.then("it is no longer busy once the caller has its answer")
+def check_no_longer_busy(context):
     assert context.data.startswith(b"HTTP/1.1 200 "), context.data
-    assert not context.is_busy_after
+    assert not context.is_still_busy
 
 
 @behave.when("the time for writing ends {wait_ms:d} ms after the request")
 def end_writing(context, wait_ms):
     async def use(stream, connections):
-        connections.write_until = trio.current_time() + wait_ms / 1000
+        connections.write_deadline = trio.current_time() + wait_ms / 1000
         await stream.send_all(_FORMS["plain request"].encode())
-        # Longer than this, a caller counts as gone in any case.
+        # Shorter than the write timeout, which ends the write in any case.
         with trio.move_on_after(3):
             while not context.is_gone:
                 await trio.sleep(0.01)
         context.was_told = context.is_gone
 
-    trio.run(run_leaving, context, use)
+    trio.run(run_shutting_down, context, use)
 
 
 @behave.then("the handler learns that its caller is gone")
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -20,20 +20,20 @@
 
 
 class FakeEngine(ports.EngineStatusSource):
-    """An engine that is well from one question on."""
+    """An engine that passes its health check from a given check on."""
 
-    def __init__(self, well_at: int) -> None:
-        self.asked = 0
-        self._well_at = well_at
+    def __init__(self, healthy_at: int) -> None:
+        self.checks = 0
+        self._healthy_at = healthy_at
 
     async def read_status(self) -> ports.EngineStatus:
-        """Nobody asks here."""
+        """Not used by these features."""
         raise AssertionError
 
     async def read_identity(self) -> str:
-        """Return the identifier once the engine is well."""
-        self.asked += 1
-        if self.asked < self._well_at:
+        """Return the identifier once the engine is healthy."""
+        self.checks += 1
+        if self.checks < self._healthy_at:
             raise ports.PortError(
                 "read engine status", "engine", "503", took_effect=False
             )
@@ -41,7 +41,7 @@
 
 
 class Entry:
-    """What an entry needs to take announcements."""
+    """The parts of an entry that handle announcements."""
 
     def __init__(self, address: str, seeds: list[str]) -> None:
         self.registry = targets.TargetRegistry()
@@ -55,21 +55,23 @@
         table = routes.RouteTable(
             1, [], [service], {}, LIMITS, requires_keys=False
         )
-        self.taken = 0
+        self.handled = 0
         self._announcements = engine_announcements.EngineAnnouncements(
             listing, lambda: table
         )
         news = fleet_news.FleetNews(members.MemberTable(address, "north"))
-        self.peers = entry_peers.EntryPeers(news, seeds, self._take)
+        self.peers = entry_peers.EntryPeers(news, seeds, self._handle)
 
-    def _take(self, message) -> None:
+    def _handle(self, message) -> None:
         self._announcements.handle_message(message)
-        self.taken += 1
+        self.handled += 1
 
 
-@behave.given("two entries that know each other, and an address where none is")
+@behave.given(
+    "two entries that know each other, and an address without an entry"
+)
 def make_entries(context):
-    first, second, context.empty = (
+    first, second, context.unused_address = (
         addresses.reserve_address() for _ in range(3)
     )
     context.first_address = first
@@ -78,15 +80,15 @@
 
 @behave.given("an agent that knows the first entry and that address")
 def make_agent(context):
-    context.seeds = [context.first_address, context.empty]
+    context.seeds = [context.first_address, context.unused_address]
 
 
-def start_engine(context, service, well_at=1, address=ENGINE_ADDRESS):
+def start_engine(context, service, healthy_at=1, address=ENGINE_ADDRESS):
     place = engine_announcement.EnginePlace(service, address, "north")
 
     async def run():
         announcement = engine_announcement.EngineAnnouncement(
-            place, FakeEngine(well_at), context.seeds
+            place, FakeEngine(healthy_at), context.seeds
         )
         async with trio.open_nursery() as nursery:
             for entry in context.entries:
@@ -97,7 +99,7 @@
                 await trio.sleep(0.01)
             nursery.start_soon(announcement.run)
             announcement.note_start(0)
-            while not all(entry.taken for entry in context.entries):
+            while not all(entry.handled for entry in context.entries):
                 await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
 
@@ -109,9 +111,9 @@
     start_engine(context, forwarding_builders.SERVICE)
 
 
-@behave.when("its engine starts, and is well at the third question")
+@behave.when("its engine starts, and passes the third health check")
 def start_slowly(context):
-    start_engine(context, forwarding_builders.SERVICE, well_at=3)
+    start_engine(context, forwarding_builders.SERVICE, healthy_at=3)
 
 
 @behave.when("an engine of another service starts")
@@ -120,7 +122,7 @@
 
 
 @behave.when('an engine at "{address}" starts')
-def start_nowhere(context, address):
+def start_at_address(context, address):
     start_engine(context, forwarding_builders.SERVICE, address=address)
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/forwarding_entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an entry that is told to stop, over sockets of this host."""
+"""Steps for an entry that is told to stop, over loopback sockets."""
 
 import signal
 
@@ -19,13 +19,13 @@
 _REQUEST = b"GET /a/b HTTP/1.1\r\nHost: host.example\r\n\r\n"
 
 
-@behave.given("a {kind} at an entry that stops within {leave_ms:d} ms")
-def make_entry(context, kind, leave_ms):
+@behave.given("a {kind} at an entry that stops within {stop_ms:d} ms")
+def make_entry(context, kind, stop_ms):
     is_plain = kind == "plain call"
     route_kind = routes.RouteKind.ONCE if is_plain else routes.RouteKind.STREAM
     context.route = forwarding_builders.make_route(route_kind)
     context.calls = forwarding_builders.ScriptedCalls()
-    context.leave_s = leave_ms / 1000
+    context.stop_s = stop_ms / 1000
 
 
 @behave.when("the entry is told to stop while the request is served")
@@ -34,16 +34,16 @@
     run_to_end(context)
 
 
-@behave.when("the entry is told to stop, and gets {name} while it leaves")
+@behave.when("the entry is told to stop, and gets {name} while it shuts down")
 def stop_twice(context, name):
     context.more_signals = [signal.Signals[name]]
     run_to_end(context)
 
 
 def run_to_end(context):
-    context.left_over = []
+    context.unhandled = []
     before = {
-        number: signal.signal(number, note_signal(context))
+        number: signal.signal(number, record_signal(context))
         for number in (signal.SIGTERM, signal.SIGHUP)
     }
     try:
@@ -53,14 +53,14 @@
             signal.signal(number, handler)
 
 
-def note_signal(context):
-    # A receiver that is closed raises what it has not given out once more.
-    return lambda number, frame: context.left_over.append(number)
+def record_signal(context):
+    # On closing, a receiver raises again the signals that it still holds.
+    return lambda number, frame: context.unhandled.append(number)
 
 
-@behave.then("the entry has left in good order")
-def check_left(context):
-    assert not context.left_over, context.left_over
+@behave.then("the entry has shut down gracefully")
+def check_graceful(context):
+    assert not context.unhandled, context.unhandled
 
 
 async def run_entry(context):
@@ -76,17 +76,17 @@
         await handling.serve(request, answer)
 
     server = entry_server.EntryServer(
-        handle, lambda: _LIMITS, lambda: True, context.leave_s
+        handle, lambda: _LIMITS, lambda: True, context.stop_s
     )
     callers = addresses.reserve_address()
-    listens = entry_server.ListenAddresses(
+    listen_addresses = entry_server.ListenAddresses(
         callers, addresses.reserve_address(), addresses.reserve_address()
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             forwarding_entry.run_entry,
             server,
-            listens,
+            listen_addresses,
             (),
             (),
             lambda: None,
--- a/packages/gentianpoint-entry/features/forwarding/steps/target_registry_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what is believed of targets."""
+"""Steps for the registry of targets and the list that it follows."""
 
 import behave
 import forwarding_builders
@@ -11,7 +11,7 @@
 
 
 @behave.given("a listed target a that takes work")
-def make_board(context):
+def make_registry(context):
     context.registry = targets.TargetRegistry()
     context.first = list_target(context)
 
@@ -36,12 +36,12 @@
 
 
 @behave.then("a gets no more work")
-def check_no_work(context):
+def check_gets_no_work(context):
     assert not context.first.accepts_work()
 
 
 @behave.then("a gets work again once it writes its entry")
-def check_work(context):
+def check_gets_work(context):
     assert list_target(context) is context.first
     assert context.first.accepts_work()
 
@@ -53,7 +53,7 @@
     context.starts[name] = context.registry.put_entry(entry, 1.0, offset)
 
 
-def list_working(context):
+def list_accepting(context):
     return [
         name for name, start in context.starts.items() if start.accepts_work()
     ]
@@ -72,7 +72,7 @@
 
 @behave.then("only the start with record {offset:d} gets work")
 def check_later_start(context, offset):
-    assert list_working(context) == [offset]
+    assert list_accepting(context) == [offset]
 
 
 @behave.then(
@@ -81,7 +81,7 @@
 )
 def check_earlier_start(context, name, offset):
     list_start(context, name, offset)
-    assert list_working(context) == [name]
+    assert list_accepting(context) == [name]
 
 
 @behave.when("a is listed with a later start")
@@ -89,7 +89,7 @@
     context.second = list_target(context, started_ms=2)
 
 
-@behave.then("a new target stands for a, and the one before is gone")
+@behave.then("a new target replaces a, and the one before is gone")
 def check_second(context):
     assert context.second is not context.first
     assert context.first.is_gone
@@ -156,7 +156,9 @@
 
 
 def announce(context):
-    context.listing.announce(forwarding_builders.make_entry("a", started_ms=0))
+    context.listing.add_announced(
+        forwarding_builders.make_entry("a", started_ms=0)
+    )
 
 
 @behave.when("target a is announced")
@@ -174,7 +176,7 @@
     assert context.first.accepts_work()
 
 
-@behave.then("the same target stands for a once the list names it")
+@behave.then("a is the same target once the list names it")
 def check_same(context):
     async def run():
         read_list(context, "a")
@@ -192,7 +194,7 @@
         seconds = {"three": 3, "five": 5, "ten": 10}[then.split(" ")[-2]]
         for _ in range(seconds):
             await trio.sleep(1)
-            if "away" in then:
+            if "unavailable" in then:
                 context.listing.note_source(is_available=False)
             else:
                 read_list(context, "")
@@ -211,8 +213,8 @@
     topic_builders.run_on_clock(run)
 
 
-@behave.then("a is gone for good")
-def check_gone_for_good(context):
+@behave.then("a is not listed")
+def check_not_listed(context):
     assert context.registry.find("a") is None
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/__init__.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/__init__.py
@@ -1,6 +1,7 @@
-"""Requests that an entry sends to targets itself, beside any agents.
+"""Forwarding of requests from an entry directly to targets, without agents.
 
-An entry owns each request from its first byte to its answer. Agents tell
-how full their engines are and when these leave; a target whose agent is away
-is served all the same, with what the entry has seen itself.
+An entry is responsible for each request from its first byte to the end of its
+answer. Agents only report how loaded their engines are and when the engines
+will leave. A target without a reachable agent is still served, based on what
+the entry has observed itself.
 """
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
@@ -1,7 +1,8 @@
-"""Takes the reports of the agents beside engines.
+"""Receives the reports of the agents beside engines.
 
-An agent that is away costs nothing but freshness: its engine is served with
-what this entry sees itself, and the connection is tried again.
+A missing agent only makes this entry's information less fresh: the engine is
+served with what the entry sees of its own requests, and the connection to the
+agent is retried.
 """
 
 from collections import abc
@@ -21,27 +22,30 @@
 
 __all__ = ("AgentConnections",)
 
-_LOOK_S: typing.Final = 0.2
-"""Longest pause between looks at which connections there should be."""
+_CHECK_S: typing.Final = 0.2
+"""Longest pause in seconds between checks of which connections are needed."""
 _FIRST_RETRY_S: typing.Final = 0.3
-_LONGEST_RETRY_S: typing.Final = 2.0
-_UNWANTED_S: typing.Final = 2.0
-"""Time after which a connection is closed that is not needed any more;
-generations follow each other at an engine."""
-_REPORT_KEPT_S: typing.Final = 2.5
-"""Age from which a report is dropped: old figures mislead more than none. An
-agent sends one a second, which takes some tenths of one to get around."""
+"""Seconds before the first attempt to reconnect; doubles with each failure."""
+_MAX_RETRY_S: typing.Final = 2.0
+"""Longest pause in seconds between attempts to reconnect."""
+_UNNEEDED_S: typing.Final = 2.0
+"""Seconds after which a connection that is no longer needed is closed. An
+engine gets one generation after another, so it may soon be needed again."""
+_MAX_REPORT_AGE_S: typing.Final = 2.5
+"""Age in seconds from which a report is dropped, as old figures mislead more
+than none. An agent sends one each second, which takes some tenths of a second
+to reach all entries."""
 
 FindAgent = abc.Callable[[targets.Target], typing.Optional[str]]
 """Returns the address of the agent beside a target, None if it has none."""
 
 
-class _Feed:
-    """The connection to the agent beside one target."""
+class _Connection:
+    """The task that stays connected to the agent beside one target."""
 
     def __init__(self) -> None:
         self.scope: typing.Final = trio.CancelScope()
-        self.unwanted_since: typing.Optional[float] = None
+        self.unneeded_since: typing.Optional[float] = None
 
 
 class AgentConnections:
@@ -53,27 +57,32 @@
         find_agent: FindAgent,
         news: fleet_news.FleetNews,
     ) -> None:
-        """Follow ``registry``; exchange reports with members of ``news``."""
+        """Connect to the agents of the targets in ``registry``.
+
+        Reports are exchanged with the other entries through ``news``.
+        """
         self._registry: typing.Final = registry
         self._find_agent: typing.Final = find_agent
         self._news: typing.Final = news
-        news.take_report = self.take_passed_on
+        news.take_report = self._take_forwarded_report
         self._watch: typing.Final = agent_watch.AgentWatch(news.members)
-        self._feeds: typing.Final[dict[targets.Target, _Feed]] = {}
+        self._connections: typing.Final[dict[targets.Target, _Connection]] = {}
         self._by_agent: typing.Final[dict[str, targets.Target]] = {}
-        self._hurry = trio.Event()
+        self._check_now = trio.Event()
 
     async def run(self) -> None:
-        """Keep the connections for ever."""
+        """Open and close connections as needed, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._open_and_close(nursery)
-                with trio.move_on_after(_LOOK_S):
-                    await self._hurry.wait()
-                self._hurry = trio.Event()
+                with trio.move_on_after(_CHECK_S):
+                    await self._check_now.wait()
+                self._check_now = trio.Event()
 
-    def take_passed_on(self, agent: str, report: targets.EngineReport) -> None:
-        """Take a report that another entry has passed on."""
+    def _take_forwarded_report(
+        self, agent: str, report: targets.EngineReport
+    ) -> None:
+        """Apply a report that another entry has passed on."""
         target = self._by_agent.get(agent)
         if target is not None:
             self._apply(target, report)
@@ -83,32 +92,32 @@
         agents = self._find_agents()
         for target, agent in agents.items():
             self._drop_old_report(target, now)
-            if target in self._feeds or not self._watch.wants(
+            if target in self._connections or not self._watch.should_connect(
                 agent, target, now
             ):
                 continue
-            self._feeds[target] = _Feed()
-            nursery.start_soon(self._follow, target, agent)
-        for target, feed in list(self._feeds.items()):
-            # One that is no longer listed goes on for its notice, and the
-            # generations there still need turns to move.
+            self._connections[target] = _Connection()
+            nursery.start_soon(self._stay_connected, target, agent)
+        for target, connection in list(self._connections.items()):
+            # A target that is no longer listed may still run until the end
+            # of its notice, and its generations need turns to move.
             agent = agents.get(target, "")
-            is_wanted = target.open_requests > 0 or (
-                bool(agent) and self._watch.wants(agent, target, now)
+            is_needed = target.open_requests > 0 or (
+                bool(agent) and self._watch.should_connect(agent, target, now)
             )
-            if is_wanted:
-                feed.unwanted_since = None
+            if is_needed:
+                connection.unneeded_since = None
             elif target.is_gone or (
-                feed.unwanted_since is not None
-                and now - feed.unwanted_since > _UNWANTED_S
+                connection.unneeded_since is not None
+                and now - connection.unneeded_since > _UNNEEDED_S
             ):
-                feed.scope.cancel()
-                del self._feeds[target]
-            elif feed.unwanted_since is None:
-                feed.unwanted_since = now
+                connection.scope.cancel()
+                del self._connections[target]
+            elif connection.unneeded_since is None:
+                connection.unneeded_since = now
 
     def _find_agents(self) -> abc.Mapping[targets.Target, str]:
-        """Return the agents beside all targets that have one."""
+        """Return the address of the agent of each target that has one."""
         agents = {}
         for target in self._registry.list_all():
             agent = self._find_agent(target)
@@ -126,13 +135,15 @@
         report = target.report
         if report is None or report.is_leaving:
             return
-        if now - report.sampled_at > _REPORT_KEPT_S:
+        if now - report.sampled_at > _MAX_REPORT_AGE_S:
             target.report = None
 
-    async def _follow(self, target: targets.Target, agent: str) -> None:
+    async def _stay_connected(
+        self, target: targets.Target, agent: str
+    ) -> None:
         retry_s = _FIRST_RETRY_S
         is_lost = False
-        with self._feeds[target].scope:
+        with self._connections[target].scope:
             while True:
                 try:
                     async with peer_sockets.open_connection(
@@ -144,12 +155,13 @@
                         await self._read_messages(target, agent, connection)
                 except* peer_connections.PeerConnectionError as group:
                     if not is_lost:
-                        # A line for each attempt would bury all others where
-                        # an agent stays away.
-                        self._note_loss(target, group.exceptions[0])
+                        # Only the first failure is logged: a line for each
+                        # attempt would drown all others while an agent is
+                        # down.
+                        self._handle_loss(target, group.exceptions[0])
                     is_lost = True
                 await trio.sleep(retry_s)
-                retry_s = min(_LONGEST_RETRY_S, retry_s * 2)
+                retry_s = min(_MAX_RETRY_S, retry_s * 2)
 
     async def _read_messages(
         self,
@@ -192,7 +204,7 @@
     def _apply(
         self, target: targets.Target, report: targets.EngineReport
     ) -> None:
-        """Believe a report of a target, unless it is of another start."""
+        """Apply a report to a target, unless it is of another start."""
         known_ms = target.entry.started_ms
         if report.started_ms and known_ms and report.started_ms != known_ms:
             return
@@ -201,7 +213,7 @@
         was_leaving = target.report is not None and target.report.is_leaving
         target.take_report(report)
         if report.is_leaving and not was_leaving:
-            self._hurry.set()
+            self._check_now.set()
             self._registry.note_leaving_notice(trio.current_time())
             logs.log_event(
                 events.TARGET_LEAVING,
@@ -213,10 +225,13 @@
                 ),
             )
 
-    def _note_loss(self, target: targets.Target, error: BaseException) -> None:
+    def _handle_loss(
+        self, target: targets.Target, error: BaseException
+    ) -> None:
         peer_connections.log_loss(error)
         if target.report is None or target.report.is_leaving:
             return
         if not self._news.passes_reports():
-            # Nobody else brings reports; old figures mislead more than none.
+            # No other entry passes reports on, and old figures mislead more
+            # than none.
             target.report = None
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_turns.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_turns.py
@@ -1,4 +1,4 @@
-"""Turns to move generations, as the agent beside the source gives them."""
+"""Turns to move generations, which the source engine's agent grants."""
 
 from collections import abc
 import math
@@ -10,17 +10,17 @@
 
 __all__ = ("AgentTurns",)
 
-_LOOK_S: typing.Final = 0.2
-"""Pause between looks at whether the agent is still heard."""
+_CHECK_S: typing.Final = 0.2
+"""Seconds between checks whether the agent still sends reports."""
 
 
 class AgentTurns:
-    """Waits for turns over one connection to an agent."""
+    """Requests and awaits turns over one connection to an agent."""
 
     def __init__(self, connection: peer_connections.PeerConnection) -> None:
-        """Ask over ``connection``."""
+        """Request turns over ``connection``."""
         self._connection: typing.Final = connection
-        self._given: typing.Final[dict[str, trio.Event]] = {}
+        self._granted: typing.Final[dict[str, trio.Event]] = {}
         send, receive = trio.open_memory_channel[abc.Mapping[str, typing.Any]](
             math.inf
         )
@@ -28,43 +28,47 @@
         self._to_send: typing.Final = receive
 
     async def send_messages(self) -> None:
-        """Send what is asked and given back, for ever."""
+        """Send the queued messages to the agent, until cancelled."""
         async for message in self._to_send:
             await self._connection.send(message)
 
     def mark_granted(self, request: str) -> None:
-        """Learn that a request has the turn."""
-        given = self._given.get(request)
-        if given is None:
+        """Record that the agent has granted a request the turn."""
+        granted = self._granted.get(request)
+        if granted is None:
             self.give_back(request)
         else:
-            given.set()
+            granted.set()
 
     def close(self) -> None:
-        """Let all go on that wait: the agent is lost."""
-        for given in self._given.values():
-            given.set()
+        """Let all waiting requests go on, since the agent is lost."""
+        for granted in self._granted.values():
+            granted.set()
 
     async def wait_for_turn(
-        self, request: str, tokens: int, is_heard: abc.Callable[[], bool]
+        self,
+        request: str,
+        tokens: int,
+        is_agent_reporting: abc.Callable[[], bool],
     ) -> None:
         """Return when a request has the turn, or needs none.
 
-        It needs none once ``is_heard()`` says that the agent has stopped.
-        While the agent gives out turns, nothing moves without one: all that
-        wait would start at once, and the copy that has the turn would miss
-        its engine's end behind them.
+        It needs none once ``is_agent_reporting()`` returns False, since the
+        agent has stopped then. While the agent grants turns, nothing moves
+        without one: all waiting requests would start to copy at once, and
+        the copy that has the turn would not be complete before its engine
+        stops.
         """
-        given = trio.Event()
-        self._given[request] = given
+        granted = trio.Event()
+        self._granted[request] = granted
         self._outgoing.send_nowait(
             {"type": "move_wanted", "request": request, "tokens": tokens}
         )
-        while not given.is_set() and is_heard():
-            with trio.move_on_after(_LOOK_S):
-                await given.wait()
+        while not granted.is_set() and is_agent_reporting():
+            with trio.move_on_after(_CHECK_S):
+                await granted.wait()
 
     def give_back(self, request: str) -> None:
         """Give the turn back, or stop waiting for it."""
-        self._given.pop(request, None)
+        self._granted.pop(request, None)
         self._outgoing.send_nowait({"type": "move_done", "request": request})
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_watch.py
@@ -1,11 +1,11 @@
-"""Which entries are connected to an agent.
+"""Decides which entries are connected to an agent.
 
-The load it answers: with a connection from every entry to every agent, each
-agent sends each change of its engine to all entries, ten times a second, and
-control costs an entry more than callers do. So a few entries watch each agent
-and pass its reports on. An entry that has generations at an engine is
-connected to its agent besides: it needs turns to move them, and the first
-notice.
+If each entry were connected to each agent, each agent would send each change
+of its engine to all entries, ten times a second, and an entry would spend more
+on control messages than on callers. So a few entries watch each agent and pass
+its reports on to the others. An entry with generations at an engine is also
+connected to the engine's agent, because it needs turns to move them and the
+earliest word of a notice.
 """
 
 from collections import abc
@@ -18,20 +18,21 @@
 __all__ = ("AgentWatch",)
 
 _WATCHERS: typing.Final = 3
-"""Entries that watch each agent. With three, losing two at once leaves the
-reports as they are."""
-_MOST_WATCHERS: typing.Final = 12
-"""Entries that try an agent of which nothing is heard. What so many can't
-reach is gone, and the others would try it in vain all day."""
+"""Entries that watch each agent. With three, reports go on arriving when two
+of them are lost at once."""
+_MAX_WATCHERS: typing.Final = 12
+"""Entries that try to reach an agent whose reports have stopped. If that many
+can't reach it, it is down, and more entries would only try in vain."""
 _BUSY_S: typing.Final = 0.8
-"""Time for which an engine has worked for this entry after which it connects
-to the agent; most short answers end before."""
-_QUIET_S: typing.Final = 1.5
-"""Age of the last report from which entries beyond the first ones try the
-agent: those may all be gone. Agents send a report a second at least."""
+"""Seconds for which an engine has been busy for this entry after which it
+connects to the agent; most short answers have ended by then."""
+_OVERDUE_S: typing.Final = 1.5
+"""Age in seconds of the last report from which entries besides the first ones
+try to reach the agent, since all of those may be lost. Agents send a report
+at least once a second."""
 _STEP_S: typing.Final = 1.0
-"""Time after which one more entry tries. An agent that is gone itself must
-not be tried by all."""
+"""Seconds after which one more entry tries, so that not all of them try an
+agent that is itself down."""
 
 
 class AgentWatch:
@@ -43,7 +44,9 @@
         self._ranks: typing.Final[dict[str, int]] = {}
         self._version = -1
 
-    def wants(self, agent: str, target: targets.Target, now: float) -> bool:
+    def should_connect(
+        self, agent: str, target: targets.Target, now: float
+    ) -> bool:
         """Tell whether to be connected to the agent beside a target."""
         if now - target.busy_since >= _BUSY_S:
             return True
@@ -53,13 +56,13 @@
         if len(self._members.list_live()) <= members.MOST_DIRECT:
             return True
         allowed = float(_WATCHERS)
-        quiet_s = now - target.heard_at - _QUIET_S
-        if quiet_s > 0:
-            allowed = min(_MOST_WATCHERS, allowed + quiet_s / _STEP_S)
+        overdue_s = now - target.last_report_at - _OVERDUE_S
+        if overdue_s > 0:
+            allowed = min(_MAX_WATCHERS, allowed + overdue_s / _STEP_S)
         return self._find_rank(agent) < allowed
 
     def keep_only(self, agents: abc.Collection[str]) -> None:
-        """Forget agents that are gone."""
+        """Forget all agents but these."""
         for agent in set(self._ranks) - set(agents):
             del self._ranks[agent]
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_answers.py
@@ -1,4 +1,4 @@
-"""The way back to a caller."""
+"""The interface through which a request's handler answers its caller."""
 
 import abc
 from collections import abc as collections_abc
@@ -7,23 +7,23 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller closed its connection or stopped reading from it."""
 
 
 class CallerAnswer(abc.ABC):
     """The one answer to a caller's request.
 
-    Either :meth:`send_whole` is called, or :meth:`start`, :meth:`send` any
-    number of times and :meth:`finish`. An answer that was started and not
-    finished reaches the caller as broken off.
+    Either :meth:`send_whole` is called, or :meth:`start`, then :meth:`send`
+    any number of times, then :meth:`finish`. If an answer is started and not
+    finished, the caller sees that it was cut off.
     """
 
     is_started: bool = False
-    """True once a status has gone to the caller."""
+    """True once the status has been sent to the caller."""
     is_finished: bool = False
     """True once the answer is complete."""
     status: int = 0
-    """The status that has gone to the caller; 0 for none yet."""
+    """The status that has been sent to the caller; 0 if none yet."""
 
     @abc.abstractmethod
     async def send_whole(
@@ -32,7 +32,7 @@
         headers: collections_abc.Sequence[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     @abc.abstractmethod
     async def start(
@@ -40,7 +40,7 @@
         status: int,
         headers: collections_abc.Sequence[tuple[bytes, bytes]],
     ) -> None:
-        """Send the head of an answer whose body follows."""
+        """Send the status and headers; the body follows."""
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
@@ -1,4 +1,4 @@
-"""What a request's handling needs of a call, plain or stream."""
+"""The interface of a call, plain or streaming, to the request's handling."""
 
 import abc
 import typing
@@ -10,19 +10,19 @@
 
 
 class CallerCall(abc.ABC):
-    """One request, from its target's choice to the caller's answer."""
+    """Serves one request: chooses targets and answers the caller."""
 
     attempts: attempts.Attempts
-    """What has been tried of it."""
+    """The attempts at targets so far."""
 
     @abc.abstractmethod
     async def serve(self) -> typing.Optional[refusals.Refusal]:
         """Answer the caller; return a refusal if there is no answer.
 
         May be cancelled at the request's deadline. An answer that was
-        started then stays unfinished, which its caller sees.
+        started then stays unfinished, and the caller sees that.
         """
 
     def describe_pace(self) -> dict[str, typing.Any]:
-        """Return what the line that ends the request tells of its pace."""
+        """Return the timing fields for the log line that ends the request."""
         return {}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_connections.py
@@ -1,8 +1,9 @@
-"""Callers' connections: HTTP/1.1, one task each.
+"""HTTP/1.1 connections from callers, each served by a task of its own.
 
-Forwarding needs what a web framework hides: the target of a request byte by
-byte, the moment at which a caller leaves, and an end that can't be taken for
-a complete answer. The parser is ``h11``.
+Forwarding needs three things that web frameworks hide: the exact bytes of a
+request's target, the moment at which a caller disconnects, and a way to abort
+a response so that it can't be taken for a complete one. ``h11`` does the
+parsing and framing.
 """
 
 from collections import abc
@@ -26,51 +27,55 @@
 __all__ = ("CallerConnections", "Handler", "RawRequest")
 
 _READ_BYTES: typing.Final = 65536
-_MOST_STASHED_BYTES: typing.Final = 65536
-"""Bytes of later requests that are taken while one is served."""
-_IDLE_SLACK: typing.Final = 1.25
-"""Connections are kept this much longer than the limit for idling, so that a
-request of a caller that keeps to the limit does not cross our closing."""
+"""Most bytes that one read of a socket returns."""
+_MAX_PIPELINED_BYTES: typing.Final = 65536
+"""Bytes of later requests that are buffered while one is served."""
+_TIMEOUT_SLACK: typing.Final = 1.25
+"""Factor by which the server waits longer than the idle and header limits, so
+that a request that a caller sends within a limit does not cross the server's
+close."""
 _FIRST_REQUEST_S: typing.Final = 1.0
-"""Time for which the first request of a new connection is on its way."""
-_WRITE_STALL_MS: typing.Final = 5000.0
-"""Time for which a caller may take nothing of its answer."""
+"""Seconds for which a new connection counts as busy, because its first
+request may still be in transit."""
+_WRITE_TIMEOUT_MS: typing.Final = 5000.0
+"""Milliseconds after which a write fails because the caller reads nothing."""
 
 
 class RawRequest(typing.NamedTuple):
-    """A request as it was read from a caller."""
+    """A request as it was read from a caller's connection."""
 
     method: bytes
     """HTTP method."""
     target: bytes
-    """Path and query, byte by byte."""
+    """Path and query, byte for byte as received."""
     headers: abc.Sequence[tuple[bytes, bytes]]
     """Headers; names in lower case."""
     body: bytes
-    """The whole body, without framing."""
+    """The complete body, without transfer encoding."""
     received_at: float
-    """Time on trio's clock at which its head was read."""
+    """Trio time in seconds at which the request's head had been read."""
 
 
 Handler = abc.Callable[
     [RawRequest, caller_answers.CallerAnswer], abc.Awaitable[None]
 ]
-"""Serves one request; an answer left unfinished is reset."""
+"""Serves one request; if it leaves its answer unfinished, the connection is
+reset."""
 
 
-class _End(enum.Enum):
-    """How a connection comes to its end."""
+class _ConnectionEnd(enum.Enum):
+    """The state in which a connection ends, which decides how to close it."""
 
     IDLE = "idle"
-    """No request is under way, and no answer either."""
+    """No request or answer is in progress."""
     ANSWERED = "answered"
-    """An answer has just been sent."""
+    """A complete answer has just been sent."""
     BROKEN = "broken"
     """An answer is missing or incomplete."""
 
 
-class _RefusedError(Exception):
-    """The request can't be read; the connection ends after an answer."""
+class _UnreadableRequestError(Exception):
+    """The request can't be read: send an error and close the connection."""
 
     def __init__(self, status: int, reason: str) -> None:
         self.status: typing.Final = status
@@ -78,22 +83,22 @@
 
 
 class _Answer(caller_answers.CallerAnswer):
-    """The answer to one request on a connection."""
+    """Writes the answer to one request on a connection."""
 
     def __init__(
         self,
-        state: h11.Connection,
+        protocol: h11.Connection,
         stream: trio.SocketStream,
         *,
-        closes: abc.Callable[[], bool],
-        find_write_end: abc.Callable[[], float],
+        is_closing: abc.Callable[[], bool],
+        read_write_deadline: abc.Callable[[], float],
     ) -> None:
         self.is_started = False
         self.is_finished = False
-        self._state: typing.Final = state
+        self._protocol: typing.Final = protocol
         self._stream: typing.Final = stream
-        self._closes: typing.Final = closes
-        self._find_write_end: typing.Final = find_write_end
+        self._is_closing: typing.Final = is_closing
+        self._read_write_deadline: typing.Final = read_write_deadline
 
     async def send_whole(
         self,
@@ -107,10 +112,10 @@
         head.append((b"content-length", str(len(body)).encode()))
         data = self._frame_head(status, head)
         if body:
-            data += self._state.send(h11.Data(data=body)) or b""
-        data += self._state.send(h11.EndOfMessage()) or b""
-        # The answer's own deadline may pass right now: it is ready, so it
-        # is delivered, in the bounded time of a write.
+            data += self._protocol.send(h11.Data(data=body)) or b""
+        data += self._protocol.send(h11.EndOfMessage()) or b""
+        # The answer is ready, so it is delivered even if the request's
+        # deadline passes now; the write has a time limit of its own.
         with trio.CancelScope(shield=True):
             await self._write(data)
         self.is_finished = True
@@ -118,38 +123,39 @@
     async def start(
         self, status: int, headers: abc.Sequence[tuple[bytes, bytes]]
     ) -> None:
-        # Cancelled here, the answer may still be another one.
+        # If the request is cancelled here, nothing has been sent yet, and
+        # the caller can still get a different answer.
         await trio.lowlevel.checkpoint_if_cancelled()
         self.is_started = True
         self.status = status
         await self._write(self._frame_head(status, headers))
 
     async def send(self, data: bytes) -> None:
-        await self._write(self._state.send(h11.Data(data=data)) or b"")
+        await self._write(self._protocol.send(h11.Data(data=data)) or b"")
 
     async def finish(self) -> None:
-        await self._write(self._state.send(h11.EndOfMessage()) or b"")
+        await self._write(self._protocol.send(h11.EndOfMessage()) or b"")
         self.is_finished = True
 
     def _frame_head(
         self, status: int, headers: abc.Sequence[tuple[bytes, bytes]]
     ) -> bytes:
         head = list(headers)
-        if self._closes():
+        if self._is_closing():
             head.append((b"connection", b"close"))
         response = h11.Response(status_code=status, headers=head)
-        return self._state.send(response) or b""
+        return self._protocol.send(response) or b""
 
     async def _write(self, data: bytes) -> None:
-        limit = deadlines.make_deadline(_WRITE_STALL_MS)
-        limit = limit.earlier(deadlines.Deadline(self._find_write_end()))
+        limit = deadlines.make_deadline(_WRITE_TIMEOUT_MS)
+        limit = limit.earlier(deadlines.Deadline(self._read_write_deadline()))
         with trio.CancelScope(deadline=limit.at) as scope:
             try:
                 await self._stream.send_all(data)
             except (trio.BrokenResourceError, OSError) as error:
                 raise caller_answers.CallerGoneError(str(error)) from error
         if scope.cancelled_caught:
-            raise caller_answers.CallerGoneError("the caller reads nothing")
+            raise caller_answers.CallerGoneError("write timed out")
 
 
 class CallerConnections:
@@ -163,134 +169,142 @@
         """Serve with ``handler`` under the limits in force."""
         self._handler: typing.Final = handler
         self._read_limits: typing.Final = read_limits
-        self._idle: typing.Final[set[trio.CancelScope]] = set()
-        self._first_until: typing.Final[dict[trio.SocketStream, float]] = {}
-        self._reading: typing.Final[set[trio.SocketStream]] = set()
-        self.is_leaving = False
-        self.write_until = math.inf
-        self.busy_count = 0
+        # Scopes of reads on kept-alive connections without a request.
+        self._idle_reads: typing.Final[set[trio.CancelScope]] = set()
+        # New connections, and until when their first request may arrive.
+        self._new_until: typing.Final[dict[trio.SocketStream, float]] = {}
+        self._receiving: typing.Final[set[trio.SocketStream]] = set()
+        self.is_shutting_down = False
+        self.write_deadline = math.inf
+        self.active_requests = 0
 
     def is_busy(self) -> bool:
-        """Tell whether requests are served, or are on their way."""
-        if self.busy_count or self._reading:
+        """Tell whether requests are served, received or about to arrive."""
+        if self.active_requests or self._receiving:
             return True
         now = trio.current_time()
-        return any(until > now for until in self._first_until.values())
+        return any(until > now for until in self._new_until.values())
 
     def close_idle(self) -> None:
-        """Close connections that are kept after an answer, and idle.
+        """Close connections that are kept alive after an answer, and idle.
 
         A new connection stays open: its caller has a request for it.
         """
-        for scope in list(self._idle):
+        for scope in list(self._idle_reads):
             scope.cancel()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serve one connection to its end."""
-        state = h11.Connection(
+        """Serve one connection until it ends."""
+        protocol = h11.Connection(
             h11.SERVER, self._read_limits().header_bytes + _READ_BYTES
         )
-        end = _End.BROKEN
-        self._first_until[stream] = trio.current_time() + _FIRST_REQUEST_S
+        end = _ConnectionEnd.BROKEN
+        self._new_until[stream] = trio.current_time() + _FIRST_REQUEST_S
         try:
             stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            end = await self._serve_requests(stream, state)
+            end = await self._serve_requests(stream, protocol)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            # The caller is gone: there is nobody to tell, and the request
-            # under way has been cancelled where it was noticed.
-            end = _End.BROKEN
+            # The caller has disconnected, so there is nobody to answer. The
+            # request in progress was cancelled when this was noticed.
+            end = _ConnectionEnd.BROKEN
         finally:
-            self._first_until.pop(stream, None)
-            self._reading.discard(stream)
-            if end is _End.ANSWERED:
+            self._new_until.pop(stream, None)
+            self._receiving.discard(stream)
+            if end is _ConnectionEnd.ANSWERED:
                 await _close_after_answer(stream)
-            elif end is _End.IDLE:
-                # Nothing more is read: a caller whose request crosses this
-                # may send it again only if it was not.
+            elif end is _ConnectionEnd.IDLE:
+                # Nothing more is read: a caller whose request crosses the
+                # close may only retry it if it was not read.
                 stream.socket.close()
             else:
                 _reset(stream)
 
     async def _serve_requests(
-        self, stream: trio.SocketStream, state: h11.Connection
-    ) -> _End:
-        """Serve request after request."""
+        self, stream: trio.SocketStream, protocol: h11.Connection
+    ) -> _ConnectionEnd:
+        """Serve one request after another until the connection ends."""
         while True:
             try:
-                request = await self._read_request(stream, state)
-                self._reading.discard(stream)
+                request = await self._read_request(stream, protocol)
+                self._receiving.discard(stream)
             except h11.RemoteProtocolError as error:
-                refusal = _RefusedError(error.error_status_hint, str(error))
-                return await self._refuse(stream, state, refusal)
-            except _RefusedError as refusal:
-                return await self._refuse(stream, state, refusal)
+                refusal = _UnreadableRequestError(
+                    error.error_status_hint, str(error)
+                )
+                return await self._refuse(stream, protocol, refusal)
+            except _UnreadableRequestError as refusal:
+                return await self._refuse(stream, protocol, refusal)
             if request is None:
-                return _End.IDLE
-            self._first_until.pop(stream, None)
+                return _ConnectionEnd.IDLE
+            self._new_until.pop(stream, None)
             answer = _Answer(
-                state,
+                protocol,
                 stream,
-                closes=lambda: self.is_leaving,
-                find_write_end=lambda: self.write_until,
+                is_closing=lambda: self.is_shutting_down,
+                read_write_deadline=lambda: self.write_deadline,
             )
-            self.busy_count += 1
+            self.active_requests += 1
             try:
-                await self._serve_one(stream, state, request, answer)
+                await self._serve_request(stream, protocol, request, answer)
             finally:
-                self.busy_count -= 1
+                self.active_requests -= 1
             if not answer.is_finished:
-                return _End.BROKEN
-            if state.our_state is not h11.DONE:
-                return _End.ANSWERED
-            if state.their_state is not h11.DONE:
-                return _End.ANSWERED
-            state.start_next_cycle()
+                return _ConnectionEnd.BROKEN
+            if protocol.our_state is not h11.DONE:
+                return _ConnectionEnd.ANSWERED
+            if protocol.their_state is not h11.DONE:
+                return _ConnectionEnd.ANSWERED
+            protocol.start_next_cycle()
 
     async def _refuse(
         self,
         stream: trio.SocketStream,
-        state: h11.Connection,
-        refusal: _RefusedError,
-    ) -> _End:
-        if state.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return _End.BROKEN
+        protocol: h11.Connection,
+        refusal: _UnreadableRequestError,
+    ) -> _ConnectionEnd:
+        if protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+            return _ConnectionEnd.BROKEN
         answer = _Answer(
-            state,
+            protocol,
             stream,
-            closes=lambda: True,
-            find_write_end=lambda: self.write_until,
+            is_closing=lambda: True,
+            read_write_deadline=lambda: self.write_deadline,
         )
         try:
             text = str(refusal).encode(errors="replace")[:200]
             await answer.send_whole(refusal.status, (), text)
         except caller_answers.CallerGoneError:
-            return _End.BROKEN
-        return _End.ANSWERED
+            return _ConnectionEnd.BROKEN
+        return _ConnectionEnd.ANSWERED
 
     async def _read_request(
-        self, stream: trio.SocketStream, state: h11.Connection
+        self, stream: trio.SocketStream, protocol: h11.Connection
     ) -> typing.Optional[RawRequest]:
         limits = self._read_limits()
-        head = await self._read_head(stream, state, limits)
+        head = await self._read_head(stream, protocol, limits)
         if head is None:
             return None
         received_at = trio.current_time()
-        if state.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await stream.send_all(state.send(go_on) or b"")
+        if protocol.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await stream.send_all(protocol.send(interim) or b"")
         body = bytearray()
-        quiet_ms = max(limits.header_ms, limits.idle_ms)
+        timeout_ms = max(limits.header_ms, limits.idle_ms)
         while True:
-            event = state.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                with trio.move_on_after(quiet_ms / 1000) as scope:
-                    state.receive_data(await stream.receive_some(_READ_BYTES))
+                with trio.move_on_after(timeout_ms / 1000) as scope:
+                    protocol.receive_data(
+                        await stream.receive_some(_READ_BYTES)
+                    )
                 if scope.cancelled_caught:
-                    raise _RefusedError(408, "the body does not arrive")
+                    raise _UnreadableRequestError(
+                        408, "the body does not arrive"
+                    )
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
-                    raise _RefusedError(413, "the body is too long")
+                    raise _UnreadableRequestError(413, "the body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 return RawRequest(
                     head.method,
@@ -305,67 +319,69 @@
     async def _read_head(
         self,
         stream: trio.SocketStream,
-        state: h11.Connection,
+        protocol: h11.Connection,
         limits: routes.CallerLimits,
     ) -> typing.Optional[h11.Request]:
-        """Return the next head; None when the connection may end."""
-        wait_s = limits.idle_ms * _IDLE_SLACK / 1000
-        is_kept = stream not in self._first_until
-        is_begun = bool(state.trailing_data[0])
-        if is_begun:
-            self._reading.add(stream)
+        """Return the next request's head; None if the connection may end."""
+        timeout_s = limits.idle_ms * _TIMEOUT_SLACK / 1000
+        is_kept_alive = stream not in self._new_until
+        has_begun = bool(protocol.trailing_data[0])
+        if has_begun:
+            self._receiving.add(stream)
         while True:
-            event = state.next_event()
+            event = protocol.next_event()
             if isinstance(event, h11.Request):
                 return event
             if event is not h11.NEED_DATA:
                 return None
-            if is_begun:
-                wait_s = limits.header_ms * _IDLE_SLACK / 1000
-            with trio.move_on_after(wait_s) as scope:
-                if is_kept and not is_begun:
-                    self._idle.add(scope)
+            if has_begun:
+                timeout_s = limits.header_ms * _TIMEOUT_SLACK / 1000
+            with trio.move_on_after(timeout_s) as scope:
+                if is_kept_alive and not has_begun:
+                    self._idle_reads.add(scope)
                 try:
                     data = await stream.receive_some(_READ_BYTES)
                 finally:
-                    self._idle.discard(scope)
-                state.receive_data(data)
-                is_begun = True
-                self._reading.add(stream)
+                    self._idle_reads.discard(scope)
+                protocol.receive_data(data)
+                has_begun = True
+                self._receiving.add(stream)
             if scope.cancelled_caught:
-                if is_begun:
-                    raise _RefusedError(408, "the head does not arrive")
+                if has_begun:
+                    raise _UnreadableRequestError(
+                        408, "the head does not arrive"
+                    )
                 return None
 
-    async def _serve_one(
+    async def _serve_request(
         self,
         stream: trio.SocketStream,
-        state: h11.Connection,
+        protocol: h11.Connection,
         request: RawRequest,
         answer: _Answer,
     ) -> None:
-        """Run the handler until it is done or the caller has left."""
+        """Run the handler until it returns or the caller disconnects."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                _watch_caller, stream, state, nursery.cancel_scope
+                _watch_caller, stream, protocol, nursery.cancel_scope
             )
             try:
                 await self._handler(request, answer)
             except caller_answers.CallerGoneError:
-                # The handler's own log line tells it; the connection is
-                # reset by its serving task.
+                # The handler has logged this; the task that serves the
+                # connection resets it.
                 pass
             except Exception as error:
-                # A fault in serving one request must not end the others.
+                # A bug in serving one request must not end the others.
                 logs.log_event(events.REQUEST_CRASHED, exc_info=error)
                 await _answer_crash(answer)
             nursery.cancel_scope.cancel()
 
 
 async def _answer_crash(answer: _Answer) -> None:
-    """Give a request that a fault has ended its final answer.
+    """Answer a request whose handler has raised an unexpected error.
 
-    The request may have run, so the status promises nothing.
+    The request may have run, so the status must not say that it did not.
     """
     if answer.is_started:
         return
@@ -374,14 +390,16 @@
 
 
 async def _watch_caller(
-    stream: trio.SocketStream, state: h11.Connection, scope: trio.CancelScope
+    stream: trio.SocketStream,
+    protocol: h11.Connection,
+    scope: trio.CancelScope,
 ) -> None:
     """Cancel ``scope`` when the caller closes its connection.
 
-    Without this a target would work on for a caller that has left.
+    Otherwise a target would go on working for a caller that has left.
     """
-    stashed = 0
-    while stashed < _MOST_STASHED_BYTES:
+    buffered = 0
+    while buffered < _MAX_PIPELINED_BYTES:
         try:
             data = await stream.receive_some(_READ_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -389,16 +407,16 @@
         if not data:
             scope.cancel()
             return
-        stashed += len(data)
-        state.receive_data(data)
+        buffered += len(data)
+        protocol.receive_data(data)
 
 
 async def _close_after_answer(stream: trio.SocketStream) -> None:
-    """Close so that what was sent still arrives.
+    """Close the connection so that the answer still arrives.
 
-    Closing with unread bytes resets the connection, and the reset may
-    overtake the answer: so the end is announced, and what still comes is
-    read for a moment.
+    Closing a socket with unread bytes resets the connection, and the reset
+    may overtake the answer. So the sending side is shut down first, and what
+    the caller still sends is read and dropped for a moment.
     """
     limit = deadlines.make_deadline(500)
     with trio.CancelScope(deadline=limit.at):
@@ -407,14 +425,14 @@
             while await stream.receive_some(_READ_BYTES):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            # The caller closed first, which is as good.
+            # The caller closed the connection first.
             pass
     stream.socket.close()
 
 
 def _reset(stream: trio.SocketStream) -> None:
-    """End a connection so that nothing on it looks complete."""
-    # A socket that is closed already has nothing left to reset.
+    """Reset the connection, so that no answer on it looks complete."""
+    # A socket that is already closed can't be reset any more.
     with contextlib.suppress(OSError):
         stream.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_announcements.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_announcements.py
@@ -1,4 +1,4 @@
-"""Takes what agents tell of engines that have just started."""
+"""Handles agents' announcements of engines that have just started."""
 
 from collections import abc
 import typing
@@ -14,23 +14,23 @@
 
 
 class EngineAnnouncements:
-    """Puts announced engines beside those that are listed."""
+    """Adds announced engines to the targets that are listed."""
 
     def __init__(
         self,
         listing: target_listing.TargetListing,
         read_table: abc.Callable[[], typing.Optional[routes.RouteTable]],
     ) -> None:
-        """Announce to ``listing`` what belongs to a service in force."""
+        """Add engines of configured services to ``listing``."""
         self._listing: typing.Final = listing
         self._read_table: typing.Final = read_table
 
     def handle_message(self, message: abc.Mapping[str, typing.Any]) -> None:
-        """Take an ``engine_here`` message.
+        """Handle an ``engine_here`` message.
 
-        One of a service that the configuration does not know, or knows
-        without engines, is left to the list; one whose address is none is
-        dropped, since connecting to it would end this process.
+        An engine of a service that is not configured, or is configured
+        without engines, is not added before it is listed. One with an invalid
+        address is ignored, since connecting to it would end this process.
         """
         table = self._read_table()
         if table is None:
@@ -47,7 +47,7 @@
                 reason=str(error),
             )
             return
-        self._listing.announce(
+        self._listing.add_announced(
             targets.TargetEntry(
                 target_id=message["target"],
                 service=service.name,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_reports.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/engine_reports.py
@@ -1,8 +1,8 @@
-"""Reports of engines, as agents send them and as entries pass them on.
+"""Encodings of engines' reports, from agents and between entries.
 
 An agent's message names its fields. Entries pass on the reports of all
-engines several times a second, where names would be most of the bytes, so
-there a report is a row of numbers.
+engines several times a second, and names would be most of the bytes there, so
+between entries a report is a row of numbers.
 """
 
 from collections import abc
@@ -14,13 +14,15 @@
 __all__ = ("is_newer", "make_report", "pack_report", "unpack_report")
 
 _UNKNOWN_MS: typing.Final = -1
+"""Stands for an unknown time in a row."""
 _ROW_LENGTH: typing.Final = 11
-_MOST: typing.Final = 1 << 62
-"""Highest figure of a report, of either sign; higher ones can't all be
-counted with."""
+"""Numbers in a row."""
+_MAX_NUMBER: typing.Final = 1 << 62
+"""Largest number of a report, positive or negative; arithmetic with larger
+ones can fail."""
 
 
-_FIGURES: typing.Final = (
+_NUMBER_FIELDS: typing.Final = (
     "age_ms",
     "running",
     "waiting",
@@ -40,18 +42,18 @@
 ) -> targets.EngineReport:
     """Return the report in an agent's message that arrived at ``now``.
 
-    Raises OverflowError if a figure is out of range.
+    Raises OverflowError if a number is out of range.
     """
-    _check_range([message[name] for name in _FIGURES])
-    made_at = now - message["age_ms"] / 1000
+    _check_range([message[name] for name in _NUMBER_FIELDS])
+    sampled_at = now - message["age_ms"] / 1000
     return targets.EngineReport(
-        sampled_at=made_at,
+        sampled_at=sampled_at,
         running=message["running"],
         waiting=message["waiting"],
         used_tokens=message["used_tokens"],
         total_tokens=message["total_tokens"],
         is_leaving=message["leaving"],
-        leaves_at=_make_end(message["leaves_in_ms"], now),
+        leaves_at=_make_deadline(message["leaves_in_ms"], now),
         is_silent=message["silent"],
         pending_prefill_tokens=message["unread_tokens"],
         started_ms=message["born_ms"],
@@ -83,10 +85,11 @@
 def unpack_report(
     row: abc.Sequence[int], now: float
 ) -> typing.Optional[targets.EngineReport]:
-    """Return the report in a row that was sent at ``now``, None if it is none.
+    """Return the report in a row that was sent at ``now``, by this clock.
 
-    Rows may get longer in later releases; what follows is left alone. Raises
-    OverflowError if a figure is out of range.
+    None if the row is too short. Later versions may send longer rows; the
+    additional numbers are ignored. Raises OverflowError if a number is out of
+    range.
     """
     if len(row) < _ROW_LENGTH:
         return None
@@ -103,7 +106,7 @@
         started_ms=row[8],
         is_leaving=bool(row[9] & 1),
         is_silent=bool(row[9] & 2),
-        leaves_at=_make_end(row[10], now),
+        leaves_at=_make_deadline(row[10], now),
     )
 
 
@@ -113,8 +116,9 @@
 ) -> bool:
     """Tell whether a report was made after the one that is known.
 
-    The reports of one run of an agent are numbered. Of two runs the later
-    one's reports are younger, whichever way they took.
+    Reports of one run of an agent are compared by their sequence numbers;
+    those of two runs by the time at which the engine was queried, whichever
+    way they arrived.
     """
     if known is None:
         return True
@@ -123,12 +127,12 @@
     return report.sampled_at > known.sampled_at
 
 
-def _check_range(figures: abc.Sequence[int]) -> None:
-    if min(figures) < -_MOST or max(figures) > _MOST:
-        raise OverflowError("a figure of a report is out of range")
+def _check_range(numbers: abc.Sequence[int]) -> None:
+    if min(numbers) < -_MAX_NUMBER or max(numbers) > _MAX_NUMBER:
+        raise OverflowError("a number of the report is out of range")
 
 
-def _make_end(
+def _make_deadline(
     leaves_in_ms: int, now: float
 ) -> typing.Optional[deadlines.Deadline]:
     if leaves_in_ms < 0:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_metrics.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and histograms of what callers get, as text for scrapers.
+"""Metrics of the answers that callers get, and their text for scrapers.
 
-The users' measures come first: the time between events of a stream, how long
-streams stood still beyond the pause their route allows, and generations that
-had to move.
+The most important ones are those that callers notice: the time between events
+of a stream, the time by which streams' pauses exceed what their route allows,
+and the number of generations that had to move.
 """
 
 import typing
@@ -18,16 +18,16 @@
 
 
 class EntryMetrics:
-    """The instruments of one entry."""
+    """The metric instruments of one entry."""
 
     def __init__(self, provider: metrics.MeterProvider) -> None:
-        """Make the instruments with ``provider``."""
+        """Create the instruments with ``provider``."""
         meter = provider.get_meter(_SCOPE)
         self._requests: typing.Final = meter.create_counter(
             "gentianpoint.requests",
             description="Requests by outcome and status.",
         )
-        self._attempts: typing.Final = meter.create_counter(
+        self._failed_attempts: typing.Final = meter.create_counter(
             "gentianpoint.failed_attempts",
             description="Attempts that got no answer, by step.",
         )
@@ -35,15 +35,15 @@
             "gentianpoint.moved_generations",
             description="Generations that went on elsewhere, by way.",
         )
-        self._stall: typing.Final = meter.create_counter(
+        self._stall_time: typing.Final = meter.create_counter(
             "gentianpoint.stall_time",
             "ms",
             "Time that streams stood still beyond what their route allows.",
         )
-        self._answer: typing.Final = meter.create_histogram(
+        self._answer_time: typing.Final = meter.create_histogram(
             "gentianpoint.answer_time", "ms", "Time to the end of an answer."
         )
-        self._first: typing.Final = meter.create_histogram(
+        self._first_event_time: typing.Final = meter.create_histogram(
             "gentianpoint.first_event_time", "ms", "Time to the first event."
         )
         self._gap: typing.Final = meter.create_histogram(
@@ -58,33 +58,33 @@
         """Record the end of a request."""
         labels = {"route": route, "outcome": outcome, "status": str(status)}
         self._requests.add(1, labels)
-        self._answer.record(took_ms, {"route": route})
+        self._answer_time.record(took_ms, {"route": route})
 
     def record_failed_attempt(self, step: str) -> None:
-        """Record an attempt without an answer."""
-        self._attempts.add(1, {"step": step})
+        """Record an attempt without an answer, by the step that failed."""
+        self._failed_attempts.add(1, {"step": step})
 
     def record_move(self, way: str) -> None:
-        """Record a generation that goes on elsewhere."""
+        """Record a generation that continues at another target."""
         self._moves.add(1, {"way": way})
 
     def record_first_event(self, route: str, took_ms: float) -> None:
         """Record the time to the first event of a stream."""
-        self._first.record(took_ms, {"route": route})
+        self._first_event_time.record(took_ms, {"route": route})
 
     def record_gap(self, route: str, gap_ms: float, allowed_ms: float) -> None:
-        """Record the time between two events."""
+        """Record the time between two events, and its excess as a stall."""
         self._gap.record(gap_ms, {"route": route})
         if gap_ms > allowed_ms > 0:
-            self._stall.add(gap_ms - allowed_ms, {"route": route})
+            self._stall_time.add(gap_ms - allowed_ms, {"route": route})
 
 
 def make_entry_metrics() -> EntryMetrics:
-    """Return measures that :func:`render_metrics` gives as text."""
+    """Return metrics that :func:`render_metrics` renders."""
     reader = prometheus.PrometheusMetricReader()
     return EntryMetrics(sdk_metrics.MeterProvider(metric_readers=[reader]))
 
 
 def render_metrics() -> bytes:
-    """Return all measures in the text format that scrapers read."""
+    """Return all metrics in the Prometheus text format."""
     return prometheus_client.generate_latest(prometheus_client.REGISTRY)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers and for the balancer, and leaves in good order."""
+"""Listens for callers, readiness probes and scrapers, and shuts down."""
 
 from collections import abc
 import typing
@@ -17,13 +17,13 @@
 __all__ = ("EntryServer", "ListenAddresses")
 
 _BACKLOG: typing.Final = 1024
-"""New connections that wait to be taken; when it is full the opening packet
-is lost and comes again only after a second."""
-_LAST_S: typing.Final = 0.45
-"""Time before the process is killed at which it ends by itself."""
-_LAST_WRITES_S: typing.Final = 0.2
-"""Time after that for what callers still take; a stalled one would hold the
-process until it is killed."""
+"""New connections that the kernel queues until they are accepted. When the
+queue is full, a SYN packet is dropped and only sent again after a second."""
+_STOP_MARGIN_S: typing.Final = 0.45
+"""Seconds before the platform kills the process at which it ends by itself."""
+_FINAL_WRITES_S: typing.Final = 0.2
+"""Seconds after that in which answers may still be written. A caller that
+reads nothing would otherwise hold the process until it is killed."""
 
 
 class ListenAddresses(typing.NamedTuple):
@@ -32,45 +32,45 @@
     callers: str
     """For callers."""
     ready: str
-    """For the balancer, which asks whether this entry is ready."""
+    """For the load balancer, which asks whether this entry is ready."""
     metrics: str
-    """For scrapers of the measures."""
+    """For scrapers of the metrics."""
 
 
 class EntryServer:
-    """The listeners of an entry, and its leaving."""
+    """The listeners of an entry, and its graceful shutdown."""
 
     def __init__(
         self,
         handler: caller_connections.Handler,
         read_limits: abc.Callable[[], routes.CallerLimits],
         is_ready: abc.Callable[[], bool],
-        leave_within_s: float,
+        shut_down_within_s: float,
     ) -> None:
-        """Serve callers with ``handler`` while ``is_ready`` tells so."""
+        """Serve callers with ``handler``; report whether ``is_ready()``."""
         self._callers: typing.Final = caller_connections.CallerConnections(
             handler, read_limits
         )
-        self._balancer: typing.Final = caller_connections.CallerConnections(
-            self._answer_ready, read_limits
+        self._probes: typing.Final = caller_connections.CallerConnections(
+            self._answer_probe, read_limits
         )
         self._scrapers: typing.Final = caller_connections.CallerConnections(
             _answer_scraper, read_limits
         )
         self._is_ready: typing.Final = is_ready
-        self._leave_within_s: typing.Final = leave_within_s
+        self._shut_down_within_s: typing.Final = shut_down_within_s
         self._stops_at: typing.Optional[float] = None
 
     @property
     def stops_at(self) -> typing.Optional[float]:
-        """When this entry ends, on trio's clock; None while it stays."""
+        """Trio time at which this entry ends; None until it shuts down."""
         return self._stops_at
 
     async def serve(self, addresses: ListenAddresses) -> None:
         """Serve on all addresses until cancelled."""
         listening = [
             (await _listen(addresses.callers), self._callers),
-            (await _listen(addresses.ready), self._balancer),
+            (await _listen(addresses.ready), self._probes),
             (await _listen(addresses.metrics), self._scrapers),
         ]
         async with trio.open_nursery() as nursery:
@@ -80,20 +80,21 @@
                 )
 
     async def shut_down(self) -> None:
-        """Stop being ready, finish what runs, and return.
+        """Report not ready, finish open requests, and return.
 
-        New connections are served until the balancer has noticed; long
-        before the kill, nothing runs any more or is given up.
+        New connections are served until the load balancer has noticed. Well
+        before the process is killed, each request has ended or is given up.
         """
         now = trio.current_time()
-        self._stops_at = now + self._leave_within_s - _LAST_S
-        self._callers.is_leaving = True
-        self._callers.write_until = self._stops_at + _LAST_WRITES_S
+        self._stops_at = now + self._shut_down_within_s - _STOP_MARGIN_S
+        self._callers.is_shutting_down = True
+        self._callers.write_deadline = self._stops_at + _FINAL_WRITES_S
         logs.log_event(
-            events.LEAVING_STARTED, busy_connections=self._callers.busy_count
+            events.LEAVING_STARTED,
+            busy_connections=self._callers.active_requests,
         )
         await trio.sleep(
-            min(leaving.NOTICE_MS / 1000, self._leave_within_s / 2)
+            min(leaving.NOTICE_MS / 1000, self._shut_down_within_s / 2)
         )
         while trio.current_time() < self._stops_at:
             self._callers.close_idle()
@@ -101,10 +102,11 @@
                 return
             await trio.sleep(0.05)
         logs.log_event(
-            events.SHUTDOWN_OVERDUE, busy_connections=self._callers.busy_count
+            events.SHUTDOWN_OVERDUE,
+            busy_connections=self._callers.active_requests,
         )
 
-    async def _answer_ready(
+    async def _answer_probe(
         self,
         request: caller_connections.RawRequest,
         answer: caller_answers.CallerAnswer,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarding_entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/forwarding_entry.py
@@ -1,4 +1,4 @@
-"""An entry that forwards, put together from its parts."""
+"""Runs the parts of a forwarding entry and handles its signals."""
 
 from collections import abc
 import signal
@@ -19,14 +19,14 @@
     followers: abc.Sequence[topic_follower.TopicFollower],
     tasks: abc.Sequence[abc.Callable[[], abc.Awaitable[None]]],
     reload_settings: abc.Callable[[], None],
-    tell_leaving: abc.Callable[[], None],
+    announce_leaving: abc.Callable[[], None],
     give_up_unanswered: abc.Callable[[], abc.Awaitable[None]],
 ) -> None:
-    """Serve callers until SIGTERM, and then leave in good order.
+    """Serve callers until SIGTERM, then shut down gracefully.
 
-    ``tell_leaving`` tells other entries that this one has begun to leave, and
-    ``give_up_unanswered`` gives the requests that are left at its end their
-    final answers.
+    SIGHUP calls ``reload_settings``. ``announce_leaving`` tells the other
+    entries that this one has begun to shut down, and ``give_up_unanswered``
+    sends final answers to the requests that are still open at its end.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
@@ -46,7 +46,7 @@
                     break
                 reload_settings()
             nursery.start_soon(_ignore_signals, signals)
-            tell_leaving()
+            announce_leaving()
             await server.shut_down()
             await give_up_unanswered()
             nursery.cancel_scope.cancel()
@@ -54,9 +54,10 @@
 
 
 async def _ignore_signals(signals: abc.AsyncIterator[int]) -> None:
-    """Take signals that come while the entry leaves.
+    """Consume signals that arrive during the shutdown.
 
-    One that is left would end the process when the receiver is closed.
+    A signal that is left unconsumed would be raised again when the receiver
+    is closed, and end the process.
     """
     async for _ in signals:
         pass
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/requests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded, and what a target is told beside it."""
+"""A caller's decoded request, and what is added when it is sent on."""
 
 from collections import abc
 import typing
@@ -10,53 +10,54 @@
 
 
 class CallerRequest(typing.NamedTuple):
-    """One attempt of a caller, read to its end."""
+    """A request of a caller, read completely."""
 
     request_id: str
     """The caller's identifier of this attempt."""
     method: bytes
     """HTTP method."""
     path: bytes
-    """Path and query as they came."""
+    """Path and query as received."""
     headers: abc.Sequence[tuple[bytes, bytes]]
-    """Headers that go on to the target unchanged."""
+    """Headers that are sent on to the target unchanged."""
     body: bytes
-    """The whole body."""
+    """The complete body."""
     route: routes.Route
-    """Route that the request takes."""
+    """Route that the request matches."""
     service: routes.Service
-    """Service that it goes to."""
+    """Service that was chosen for it."""
     customer: typing.Optional[routes.Customer]
-    """Customer that holds its key; None on public routes."""
+    """Customer that its key belongs to; None on public routes."""
     caller_deadline: deadlines.Deadline
     """Until when the caller waits."""
     deadline: deadlines.Deadline
-    """Until when it is answered: the caller's, or the route's if earlier."""
+    """Until when it must be answered: the earlier of the caller's deadline
+    and the route's."""
     prompt_tokens: int
-    """Tokens of the prompt, 0 for what is no generation."""
+    """Tokens of the prompt; 0 if the request is no generation."""
     likely_output_tokens: int
-    """The caller's estimate, often far off, else the most it allows."""
+    """The caller's estimate, often far off; without one, its limit."""
     most_output_tokens: int
-    """Length at which the target ends the answer; 0 if not limited."""
+    """Number of tokens at which the target ends the answer; 0 for no limit."""
     last_event_id: str
-    """Last event that the caller has of this stream; empty for none."""
+    """Last event of this stream that the caller has; empty for none."""
 
 
 class MemoryCopy(typing.NamedTuple):
-    """A generation's memory, from which a request goes on."""
+    """A copy of a generation's memory, from which a request can continue."""
 
     address: str
-    """Engine by which the copy is named."""
+    """Address of the engine at which the name is valid."""
     name: str
-    """Its name there: a handle, or the request's own identifier."""
+    """Its name there: a handle, or the identifier of the request itself."""
 
 
 class SendOptions(typing.NamedTuple):
-    """What the system adds to a request for one target."""
+    """What is added to a request for one target."""
 
     backup_address: str = ""
     """Engine that gets a copy of the memory as it grows."""
     copy: typing.Optional["MemoryCopy"] = None
-    """Copy to go on from; the request counts as the same run then."""
+    """Copy to continue from; the request then counts as the same run."""
     last_event_id: str = ""
-    """Last event that the caller has been given."""
+    """Last event that has been sent to the caller."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
@@ -17,11 +17,11 @@
 DecodeTable = abc.Callable[
     [ports.KeyedRecord], typing.Optional[routes.RouteTable]
 ]
-"""Returns the table of a record; None when it is no configuration."""
+"""Decodes a record; returns None if it holds no configuration."""
 
 
 class RouteUpdates(topic_follower.RecordReader):
-    """Holds the table in force, which never goes back to an older one."""
+    """Holds the table in force and never replaces it by an older one."""
 
     def __init__(self, decode: DecodeTable) -> None:
         """Start without a configuration."""
@@ -32,18 +32,18 @@
     def measure_age_ms(self) -> int:
         """Return how long ago the log last confirmed the table as newest.
 
-        A caller who is refused by a change that this process has not read
-        yet shows in a high age; -1 before the log has answered once.
+        A high age shows that a caller may have been refused because this
+        process has not read a change yet. -1 if the log has not answered yet.
         """
         return deadlines.measure_ms_since(self._confirmed_at)
 
     def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
-        """Take the newest version."""
+        """Apply the newest version."""
         for record in records:
             self.take_change(record)
 
     def take_change(self, record: ports.KeyedRecord) -> None:
-        """Put a version in force, unless it is older than the one here."""
+        """Put a version in force, unless it is older than the current one."""
         if record.value is None:
             return
         table = self._decode(record)
@@ -59,6 +59,9 @@
         )
 
     def note_source(self, *, is_available: bool) -> None:
-        """Keep what is in force: it holds also while the log is away."""
+        """Record that the log confirmed the table, if it is available.
+
+        The table stays in force while the log is unavailable.
+        """
         if is_available:
             self._confirmed_at = trio.current_time()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
@@ -1,7 +1,7 @@
-"""What a version of the configuration says, ready to be asked.
+"""The routes, services and customers of one version of the configuration.
 
-A table is built once for each version and never changed; a request keeps the
-table with which it began, so that no request sees two versions mixed.
+A table is built once for each version and never changed. A request keeps the
+table with which it began, so that it never sees a mixture of two versions.
 """
 
 from collections import abc
@@ -23,14 +23,14 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """How often a request of a route may be run."""
 
     IDEMPOTENT = "idempotent"
-    """May run any number of times."""
+    """Any number of times."""
     ONCE = "once"
-    """May run at most once."""
+    """At most once."""
     STREAM = "stream"
-    """A stream of events; may run at most once unless it may be resumed."""
+    """A stream of events: at most once, unless the stream is resumable."""
 
 
 class ServiceShare(typing.NamedTuple):
@@ -39,26 +39,26 @@
     service: str
     """Name of the service."""
     weight: float
-    """Share against the other services of the route."""
+    """Weight relative to the other services of the route."""
 
 
 class Route(typing.NamedTuple):
-    """One route."""
+    """A route from callers' requests to services."""
 
     name: str
     """Name, for logs."""
     host: str
-    """Host that callers name, in lower case."""
+    """Host header of its requests, in lower case."""
     path_prefix: str
-    """Beginning of the paths that it takes, with a slash at both ends."""
+    """Prefix of its requests' paths, with a slash at both ends."""
     shares: tuple[ServiceShare, ...]
-    """Services that its requests go to."""
+    """Services that its requests are split between."""
     kind: RouteKind
-    """What may be repeated."""
+    """How often a request may be run."""
     may_resume: bool
-    """True when a stream may go on in a new run after its last event."""
+    """True when a new run may continue a stream after its last event."""
     timeout_ms: float
-    """Longest time for which a caller is kept waiting, 0 for no limit."""
+    """Longest time that a caller waits for its answer, 0 for no limit."""
     objective_ms: float
     """Time within which an answer, or a first event, counts as on time."""
     gap_objective_ms: float
@@ -66,11 +66,11 @@
     max_attempts: int
     """Targets that one request may be sent to."""
     priority: int
-    """Rank, 0 first."""
+    """Priority of its requests; 0 is the highest."""
     is_public: bool
-    """True when no key is asked for."""
+    """True when callers need no key."""
     is_generation: bool
-    """True when requests carry the sizes and parts of a prompt."""
+    """True when requests tell the lengths and parts of a prompt."""
 
     def may_repeat(self) -> bool:
         """Tell whether a request that may have run may be run again."""
@@ -80,31 +80,31 @@
 
 
 class Customer(typing.NamedTuple):
-    """A customer, as one of its keys names it."""
+    """A customer, as found by one of its keys."""
 
     name: str
-    """Name that targets get."""
+    """Name that is sent to targets."""
     priority: typing.Optional[int]
-    """Rank that goes before the route's; None for the route's."""
+    """Priority that overrides the route's; None for the route's."""
 
 
 class EngineSpec(typing.NamedTuple):
-    """What all engines of a service are like."""
+    """Properties that all engines of a service share."""
 
     slots: int
     """Requests in one batch."""
     memory_tokens: int
-    """Tokens that fit into its memory."""
+    """Tokens that fit into an engine's memory."""
     can_move: bool
     """True when a running generation's memory can be moved."""
     can_back_up: bool
-    """True when memory is copied to another engine as it grows."""
+    """True when memory can be copied to another engine as it grows."""
     event_tokens: int = 1
-    """Tokens in an event of a stream."""
+    """Tokens in each event of a stream."""
     token_bytes: float = 0.0
-    """Memory of a token, in bytes; 0 if not known."""
+    """Memory that a token takes, in bytes; 0 if not known."""
     link_mbps: float = 0.0
-    """Rate at which memory is copied between engines; 0 if not known."""
+    """Rate in Mbit/s of copies between engines; 0 if not known."""
 
     def estimate_copy_ms(self, tokens: int) -> float:
         """Return how long a copy takes within a data centre, 0 if unknown."""
@@ -114,33 +114,33 @@
 
 
 class Service(typing.NamedTuple):
-    """A service: targets that do the same."""
+    """A service: a set of interchangeable targets."""
 
     name: str
     """Name in the configuration."""
     health_path: str
-    """Path of its health check."""
+    """Path of its targets' health check."""
     connection_limit: int
-    """Connections that a target takes from all callers together."""
+    """Connections that a target accepts from all callers together."""
     engine: typing.Optional[EngineSpec]
     """Set when its targets are model engines."""
 
 
 class CallerLimits(typing.NamedTuple):
-    """What callers may send."""
+    """Limits on what callers may send."""
 
     header_bytes: int
-    """Longest head of a request."""
+    """Largest head of a request, in bytes."""
     body_bytes: int
-    """Longest body of a request."""
+    """Largest body of a request, in bytes."""
     header_ms: float
-    """Longest time that a caller may take for the head."""
+    """Longest time that a caller may take to send the head."""
     idle_ms: float
-    """Longest time that a connection may idle between requests."""
+    """Longest time that a connection may be idle between requests."""
 
 
 class RouteTable:
-    """One version of the configuration."""
+    """One version of the configuration, indexed for requests."""
 
     def __init__(
         self,
@@ -152,7 +152,7 @@
         *,
         requires_keys: bool,
     ) -> None:
-        """Index a version; ``customers`` is by key."""
+        """Index a version; ``customers`` maps keys to customers."""
         self.version: typing.Final = version
         self.limits: typing.Final = limits
         self.services: typing.Final = {item.name: item for item in services}
@@ -165,7 +165,7 @@
             found.sort(key=lambda item: -len(item.path_prefix))
 
     def find_route(self, host: str, path: str) -> typing.Optional[Route]:
-        """Return the route with the longest prefix of ``path``."""
+        """Return the host's route with the longest prefix of ``path``."""
         name = host.lower()
         found = self._by_host.get(name)
         if found is None:
@@ -176,12 +176,12 @@
         return None
 
     def find_customer(self, key: str) -> typing.Optional[Customer]:
-        """Return the customer that holds a key."""
+        """Return the customer that a key belongs to."""
         return self._customers.get(key)
 
 
 def choose_service(route: Route, source: random.Random) -> str:
-    """Return the service for one request of a route, by the shares."""
+    """Draw the service for one request of a route, by the weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [max(0.0, share.weight) for share in route.shares]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -1,4 +1,4 @@
-"""Keeps the registry of targets as the platform's list tells it."""
+"""Keeps the registry of targets up to date with the platform's list."""
 
 import collections
 from collections import abc
@@ -17,38 +17,40 @@
 DecodeEntry = abc.Callable[
     [ports.KeyedRecord], typing.Optional[targets.TargetEntry]
 ]
-"""Returns what a record says of a target; None when it names none."""
+"""Decodes a record of the list; returns None if it holds no target."""
 
 _LISTED_WITHIN_S: typing.Final = 4.0
-"""Time, with the log at hand, in which an announced target is listed. Targets
-write their entries within a second of their start, and readings are up to a
-second apart; one that is not listed by then may have ended unseen."""
-_MOST_DROPPED: typing.Final = 128
-"""Dropped targets that are remembered; an announcement that was on its way
-for long must not bring one back."""
-_MOST_ADDRESSES: typing.Final = 8192
-"""Addresses that are remembered as used, the newest of them; about 1 MB, and
-three times the targets that a deployment is built for."""
-_BACK_WITHIN_S: typing.Final = 2.2
-"""Time after an outage of the log in which targets that are well have written
-their entries again. Until then a missing entry may only mean that it lapsed
-while the target could not write, and dropping it would refuse requests beside
-idle targets."""
+"""Seconds, with the log available, within which an announced target is
+listed. Targets write their entries within a second of their start, and the
+list is read at least once a second; a target that is not listed by then may
+have ended unnoticed."""
+_MAX_DROPPED: typing.Final = 128
+"""Dropped targets that are remembered, so that an announcement that was long
+delayed does not bring one back."""
+_MAX_ADDRESSES: typing.Final = 8192
+"""Most recently used addresses that are remembered. They take about 1 MB, and
+are three times the targets that a deployment is designed for."""
+_RENEWED_WITHIN_S: typing.Final = 2.2
+"""Seconds after an outage of the log within which healthy targets have written
+their entries again. Until then a missing entry may only mean that it expired
+while the target could not write; dropping the target would refuse requests
+while targets are idle."""
 
 
 class TargetListing(topic_follower.RecordReader):
-    """Turns records of the list into targets."""
+    """Applies records of the list to the registry of targets."""
 
     def __init__(
         self, registry: targets.TargetRegistry, decode: DecodeEntry
     ) -> None:
-        """Keep ``registry``."""
+        """Update ``registry`` with the entries that ``decode`` returns."""
         self._registry: typing.Final = registry
         self._decode: typing.Final = decode
         self._missing: typing.Final[set[str]] = set()
+        # Announced targets, and by when the list has to name them.
         self._announced: typing.Final[dict[str, float]] = {}
         self._dropped: typing.Final[collections.deque[str]] = (
-            collections.deque(maxlen=_MOST_DROPPED)
+            collections.deque(maxlen=_MAX_DROPPED)
         )
         self._addresses: typing.Final[dict[str, None]] = {}
         self._settled_at = -1.0
@@ -56,7 +58,7 @@
         self.has_read = False
 
     def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
-        """Take the whole list."""
+        """Apply the whole list."""
         listed = set()
         for record in records:
             if self._put(record):
@@ -67,20 +69,20 @@
                 self._drop(name)
         self.has_read = True
 
-    def announce(self, entry: targets.TargetEntry) -> None:
-        """Take a target that its agent has told of before the list does.
+    def add_announced(self, entry: targets.TargetEntry) -> None:
+        """Add a target that its agent has announced before it is listed.
 
-        It is used at once, unless another target had its address, which
-        only the list can tell apart. Its absence from the list says nothing
-        for a while, and nothing at all while the log is away.
+        It is used at once, unless another target had its address; only the
+        list can tell the two apart. That the list does not name it is
+        ignored for a while, and for as long as the log is unavailable.
         """
         name = entry.target_id
         if self._registry.find(name) is not None or name in self._dropped:
             return
         if entry.address in self._addresses:
-            # Addresses of targets that have gone are given to other
+            # Addresses of targets that have gone are reused by other
             # services, and an agent may not know yet that its engine's was:
-            # requests would be run by a service that they must not reach.
+            # requests would be run by a service that must not receive them.
             return
         now = trio.current_time()
         self._registry.put_entry(entry, now)
@@ -94,15 +96,19 @@
         )
 
     def take_change(self, record: ports.KeyedRecord) -> None:
-        """Take one target's entry, or its removal."""
+        """Apply one target's entry, or its removal."""
         if record.value is None or not self._put(record):
             self._drop(record.key)
 
     def note_source(self, *, is_available: bool) -> None:
-        """Settle what lapsed during an outage once its end is past."""
+        """Record whether the log is available, and drop overdue targets.
+
+        Targets that went missing during an outage are dropped once they have
+        had the time to write their entries again.
+        """
         now = trio.current_time()
         if not is_available or not self._is_available:
-            self._settled_at = now + _BACK_WITHIN_S
+            self._settled_at = now + _RENEWED_WITHIN_S
         self._is_available = is_available
         for name, listed_by in list(self._announced.items()):
             if not is_available:
@@ -144,11 +150,12 @@
     def _remember_address(self, address: str) -> None:
         self._addresses.pop(address, None)
         self._addresses[address] = None
-        if len(self._addresses) > _MOST_ADDRESSES:
+        if len(self._addresses) > _MAX_ADDRESSES:
             del self._addresses[next(iter(self._addresses))]
 
     def _drop(self, target_id: str) -> None:
-        # The first reading after an outage comes before its end is noted.
+        # The first read after an outage arrives before note_source reports
+        # that the log is available again.
         is_settled = trio.current_time() >= self._settled_at
         if not self._is_available or not is_settled:
             self._missing.add(target_id)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -1,9 +1,9 @@
-"""The targets that an entry knows, and what it believes of each.
+"""The targets that an entry knows, and their state as the entry sees it.
 
-Three sources tell of a target: its own entry in the platform's list, which
-lags; its agent, which is fresh but may be away; and what this entry has seen
-on its own requests. A target that one of them calls leaving gets no new
-work, whatever the others say.
+There are three sources: a target's own entry in the platform's list, which
+lags; its agent, whose reports are fresh but may be missing; and the outcomes
+of this entry's own requests. A target that one of them calls leaving gets no
+new work, whatever the others say.
 """
 
 from collections import abc
@@ -19,7 +19,8 @@
 _NOT_LISTED: typing.Final = -1
 """Offset of a target that no record of the list names."""
 _SENT_KEPT_S: typing.Final = 4.0
-"""Time after which a request that was sent is in every report that counts."""
+"""Seconds after which a sent request is included in every report that is
+still in use."""
 
 
 class TargetEntry(typing.NamedTuple):
@@ -32,83 +33,84 @@
     address: str
     """IP:PORT."""
     data_centre: str
-    """Where it is."""
+    """Data centre that it runs in."""
     slots: int
-    """Requests that it runs at once."""
+    """Requests that it runs concurrently."""
     is_leaving: bool
-    """True when it takes no new work."""
+    """True when it accepts no new work."""
     slow_start_ms: float
-    """How much longer it is slow after its start."""
+    """Milliseconds for which it is still slow after its start."""
     started_ms: int
     """Unix time of its start in milliseconds, 0 if not said. The same
-    identifier with another time is a new start that knows nothing."""
+    identifier with another time is a new start, without the old state."""
 
 
 class EngineReport(typing.NamedTuple):
-    """What an engine's agent last told."""
+    """The state of an engine, as its agent last reported it."""
 
     sampled_at: float
-    """When the engine was asked, on trio's clock, in seconds."""
+    """Trio time in seconds at which the agent queried the engine."""
     running: int
-    """Requests in the batch."""
+    """Requests in the running batch."""
     waiting: int
-    """Requests that wait in the engine."""
+    """Requests that wait in the engine's queue."""
     used_tokens: int
-    """Memory that can't yield, in tokens."""
+    """Memory in use that can't be freed, in tokens."""
     total_tokens: int
-    """Memory, in tokens."""
+    """Total memory, in tokens."""
     is_leaving: bool
-    """True when the engine has been given notice."""
+    """True when the engine has been given notice that it will be stopped."""
     leaves_at: typing.Optional[deadlines.Deadline]
-    """When it goes, if known."""
+    """When it stops, if known."""
     is_silent: bool
     """True when the engine no longer answers its agent."""
     pending_prefill_tokens: int
-    """Prompt tokens that it has still to read, of all entries' requests."""
+    """Prompt tokens still to be processed, for all entries' requests."""
     started_ms: int = 0
     """Unix time of the engine's start in milliseconds, 0 if not said."""
     agent_run: int = 0
-    """Number that tells runs of the agent apart."""
+    """Identifies the run of the agent, which changes when it restarts."""
     sequence_number: int = 0
-    """How many reports this run of the agent had made."""
+    """Counts the reports of this run of the agent."""
 
 
-class _Sent(typing.NamedTuple):
-    """A request that may not be in the last report yet."""
+class _SentRequest(typing.NamedTuple):
+    """A request that the last report may not include yet."""
 
     at: float
-    """When it was sent."""
+    """Trio time at which it was sent."""
     tokens: int
-    """Memory that it is likely to take."""
+    """Memory that it is expected to take, in tokens."""
     prompt_tokens: int
-    """Prompt tokens that are to be read for it."""
+    """Prompt tokens that are to be processed for it."""
     is_request: bool
-    """False for memory that only moves there."""
+    """False for a generation whose memory is only moved there."""
 
 
 class Target:
-    """One start of a target, with what this entry has seen of it."""
+    """One start of a target, and its state as this entry sees it."""
 
     def __init__(self, entry: TargetEntry, now: float) -> None:
-        """Take the target's own word; ``now`` is trio's time."""
+        """Start from the target's own entry; ``now`` is trio's time."""
         self.entry = entry
         self.is_gone = False
         self.is_replaced = False
-        # Place of its newest record in the list.
+        # Offset of its newest record in the list.
         self.offset = _NOT_LISTED
         self.leaves_at: typing.Optional[deadlines.Deadline] = None
         self.slow_start_until = now + entry.slow_start_ms / 1000
         self.report: typing.Optional[EngineReport] = None
-        self.heard_at = now
+        # Before the first report, the time at which the target was added.
+        self.last_report_at = now
         self.turns: typing.Optional[agent_turns.AgentTurns] = None
-        self._sent: typing.Final[list[_Sent]] = []
+        self._sent: typing.Final[list[_SentRequest]] = []
         self.sent_since_report = 0
         self.tokens_since_report = 0
         self.open_requests = 0
         self.open_tokens = 0
         self.busy_since = math.inf
-        # Prompts of this entry alone: those without an event yet, and those
-        # that were sent after the report was made.
+        # Prompt tokens of this entry's requests alone: of those that have no
+        # event yet, and of those that were sent after the report was made.
         self.own_pending_prefill_tokens = 0
         self.prompt_tokens_since_report = 0
         self.failures = 0
@@ -126,12 +128,12 @@
         return self.report is None or not self.report.is_leaving
 
     def note_failure(self, now: float) -> None:
-        """Remember a failure at ``now``, for the next choices."""
+        """Record a failure at ``now``, which lowers the target's rank."""
         self.failures += 1
         self.failed_at = now
 
     def open_request(self, now: float, tokens: int) -> None:
-        """Count a request that is sent here and not ended yet."""
+        """Count a request that is sent here and has not ended yet."""
         if not self.open_requests:
             self.busy_since = now
         self.open_requests += 1
@@ -152,12 +154,12 @@
         *,
         is_request: bool = True,
     ) -> None:
-        """Count what the next report may not tell yet."""
-        # Without any report, what counts are the requests that are open.
+        """Count what the next report may not include yet."""
+        # While there is no report, the open requests are used instead.
         self._sent[:] = [
             item for item in self._sent if now - item.at < _SENT_KEPT_S
         ]
-        self._sent.append(_Sent(now, tokens, prompt_tokens, is_request))
+        self._sent.append(_SentRequest(now, tokens, prompt_tokens, is_request))
         self._count_sent()
 
     def _count_sent(self) -> None:
@@ -168,13 +170,13 @@
         )
 
     def take_report(self, report: EngineReport) -> None:
-        """Take what the agent tells.
+        """Apply a report of the agent.
 
-        A report that other entries passed on was made some tenths of a
-        second ago and does not know what was sent since.
+        A report that other entries passed on is some tenths of a second old
+        and does not include what has been sent since.
         """
         self.report = report
-        self.heard_at = report.sampled_at
+        self.last_report_at = report.sampled_at
         self._sent[:] = [
             item for item in self._sent if item.at > report.sampled_at
         ]
@@ -184,34 +186,38 @@
 
 
 class TargetRegistry:
-    """All targets, by their identifiers."""
+    """All known targets, by identifier, by service and by address."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without targets."""
         self.last_leaving_notice_at = -math.inf
         self._targets: typing.Final[dict[str, Target]] = {}
         self._by_service: typing.Final[dict[str, list[Target]]] = {}
-        self._starts: typing.Final[dict[tuple[str, str], list[Target]]] = {}
+        self._by_address: typing.Final[
+            dict[tuple[str, str], list[Target]]
+        ] = {}
 
     def note_leaving_notice(self, now: float) -> None:
-        """Remember when a target was last given notice; see ``choice``."""
+        """Record when a target was last given notice; see ``choice``."""
         self.last_leaving_notice_at = now
 
     def put_entry(
         self, entry: TargetEntry, now: float, offset: int = _NOT_LISTED
     ) -> Target:
-        """Take a target's entry; a new start replaces the one before.
+        """Add or update a target; a new start replaces the one before.
 
-        ``offset`` is the place of its record in the list, if it has one.
+        ``offset`` is the offset of the entry's record in the list, if it has
+        one.
         """
         known = self._targets.get(entry.target_id)
         if known is not None and _is_same_start(known.entry, entry):
             known.entry = entry
             known.is_gone = False
-            # It writes still, so what answered in its place was a mistake.
+            # It still writes its entry, so it was wrong to conclude from
+            # another target's answer that it has ended.
             known.is_replaced = False
             known.offset = max(known.offset, offset)
-            _note_replaced(self._list_starts(known))
+            _mark_replaced(self._list_at_address(known))
             return known
         if known is not None:
             self.drop(entry.target_id)
@@ -219,26 +225,28 @@
         target.offset = offset
         self._targets[entry.target_id] = target
         self._by_service.setdefault(entry.service, []).append(target)
-        self._list_starts(target).append(target)
-        _note_replaced(self._list_starts(target))
+        self._list_at_address(target).append(target)
+        _mark_replaced(self._list_at_address(target))
         return target
 
     def drop(self, target_id: str) -> typing.Optional[Target]:
-        """Forget a target; requests under way see that it is gone."""
+        """Remove a target; open requests see that it is gone."""
         target = self._targets.pop(target_id, None)
         if target is not None:
             target.is_gone = True
             self._by_service[target.entry.service].remove(target)
-            starts = self._list_starts(target)
+            starts = self._list_at_address(target)
             starts.remove(target)
             if not starts:
-                del self._starts[target.entry.service, target.entry.address]
+                del self._by_address[
+                    target.entry.service, target.entry.address
+                ]
         return target
 
-    def _list_starts(self, target: Target) -> list[Target]:
+    def _list_at_address(self, target: Target) -> list[Target]:
         """Return the targets of a service that are listed at one address."""
         key = (target.entry.service, target.entry.address)
-        return self._starts.setdefault(key, [])
+        return self._by_address.setdefault(key, [])
 
     def find(self, target_id: str) -> typing.Optional[Target]:
         """Return a target by its identifier."""
@@ -253,16 +261,17 @@
         return list(self._targets.values())
 
 
-def _note_replaced(here: abc.Sequence[Target]) -> None:
-    """Note which of a service's targets at one address have ended.
+def _mark_replaced(starts: abc.Sequence[Target]) -> None:
+    """Mark those of a service's targets at one address that have ended.
 
-    The list goes on naming a start that ended until its entry lapses, and
-    what is sent to it is refused by the one that has its address now: the
-    one that wrote last. Offsets tell that without any host's clock. An entry
-    of another service at that address may be anybody's mistake.
+    The list still names a start that has ended until its entry expires, and
+    requests sent to it are refused by the target that now has its address:
+    the one that wrote its entry last. Offsets tell which one that is without
+    relying on any host's clock. Targets of other services at the address are
+    left alone, since their entries may simply be wrong.
     """
-    latest = max(target.offset for target in here)
-    for target in here:
+    latest = max(target.offset for target in starts)
+    for target in starts:
         if _NOT_LISTED < target.offset < latest:
             target.is_replaced = True
 
@@ -270,8 +279,8 @@
 def _is_same_start(known: TargetEntry, entry: TargetEntry) -> bool:
     if known.service != entry.service or known.address != entry.address:
         return False
-    # An announcement, or an entry of an older writer, may not say when the
-    # target started; address and identifier then have to do.
+    # An announcement, or an entry written by an older version of the target,
+    # may lack the time of the start. Identifier and address must do then.
     if not known.started_ms or not entry.started_ms:
         return True
     return known.started_ms == entry.started_ms
