--- a/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
@@ -9,8 +9,8 @@
 import random
 import typing
 
+from gentianpoint_agent import desired_states
 from gentianpoint_agent import order_turns
-from gentianpoint_agent import wanted_states
 from gentianpoint_core import logs
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
@@ -29,7 +29,7 @@
         self,
         store: typing.Optional[ports.WeightStore],
         rate: int,
-        turns: order_turns.Turns,
+        turns: order_turns.TurnClient,
     ) -> None:
         """Read from ``store``, which gives ``rate`` bytes a second to all.
 
@@ -44,7 +44,7 @@
         return self._rate * _WINDOW_S
 
     async def measure(
-        self, wanted: wanted_states.WantedState, load: ports.EngineLoad
+        self, wanted: desired_states.DesiredState, load: ports.EngineLoad
     ) -> int:
         """Return the bytes that a load from ``load`` to ``wanted`` reads."""
         if self._store is None:
@@ -59,7 +59,7 @@
     async def wait_room(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
-        """Wait until the turns asked for so far leave room; see ``Turns``."""
+        """Wait until earlier turns leave room; see ``TurnClient``."""
         if not size:
             return True
         return await self._turns.wait_room(size, self.read_limit, is_wanted)
@@ -67,10 +67,10 @@
     async def take_turn(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
-        """Wait for a turn to read ``size`` bytes; see ``Turns``."""
+        """Wait for a turn to read ``size`` bytes; see ``TurnClient``."""
         if not size:
             return True
-        taken = await self._turns.take(size, self.read_limit, is_wanted)
+        taken = await self._turns.acquire(size, self.read_limit, is_wanted)
         if taken:
             logs.log_event(events.WEIGHTS_TURN_TAKEN, size=size)
         return taken
@@ -81,11 +81,11 @@
 
     async def keep_turn_up(self) -> None:
         """Keep a turn that is held, for ever."""
-        await self._turns.keep_up()
+        await self._turns.keep_renewed()
 
     async def give_turn_back(self) -> None:
         """Let the next read."""
-        await self._turns.give_back()
+        await self._turns.release()
 
     def choose_wait_s(self, size: int, targets: int) -> float:
         """Return how long to wait before a read without a turn.
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -8,7 +8,7 @@
 from gentianpoint_core import ports
 from gentianpoint_entry.forwarding import engine_announcements
 from gentianpoint_entry.forwarding import entry_peers
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import target_listing
@@ -59,8 +59,10 @@
         self._announcements = engine_announcements.EngineAnnouncements(
             listing, lambda: table
         )
-        news = fleet_news.FleetNews(members.MemberTable(address, "north"))
-        self.peers = entry_peers.EntryPeers(news, seeds, self._handle)
+        gossip = gossip_state.GossipState(
+            members.MemberTable(address, "north")
+        )
+        self.peers = entry_peers.EntryPeers(gossip, seeds, self._handle)
 
     def _handle(self, message) -> None:
         self._announcements.handle_message(message)
@@ -84,10 +86,10 @@
 
 
 def start_engine(context, service, healthy_at=1, address=ENGINE_ADDRESS):
-    place = engine_announcement.EnginePlace(service, address, "north")
+    place = engine_announcement.EngineLocation(service, address, "north")
 
     async def run():
-        announcement = engine_announcement.EngineAnnouncement(
+        announcement = engine_announcement.EngineAnnouncer(
             place, FakeEngine(healthy_at), context.seeds
         )
         async with trio.open_nursery() as nursery:
--- a/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/leaving_steps.py
@@ -27,7 +27,7 @@
     async def run():
         shared = forwarding_builders.make_forwarder(["a"], context.calls)
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
         request = forwarding_builders.make_request(
@@ -39,7 +39,7 @@
             await handling.give_up_unanswered()
             nursery.cancel_scope.cancel()
 
-    topic_builders.run_on_clock(run)
+    topic_builders.run_on_mock_clock(run)
 
 
 @behave.then("the caller has the whole answer")
@@ -78,13 +78,13 @@
             most_output_tokens=max(context.tokens, request.most_output_tokens),
         )
         ends_at = trio.current_time() + left / 1000
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, lambda: ends_at
         )
         await handling.serve(request, context.answer)
 
     with testing.capture_logs() as lines:
-        topic_builders.run_on_clock(run)
+        topic_builders.run_on_mock_clock(run)
     context.lines = lines
 
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/stream_calls_steps.py
@@ -104,7 +104,7 @@
         request = forwarding_builders.make_request(
             context.route, context.engine
         )
-        handling = request_handling.RequestHandling(
+        handling = request_handling.RequestHandler(
             shared, forwarding_builders.send_refusal, find_end
         )
         began = trio.current_time()
@@ -118,7 +118,7 @@
             nursery.cancel_scope.cancel()
 
     with testing.capture_logs() as lines:
-        topic_builders.run_on_clock(run)
+        topic_builders.run_on_mock_clock(run)
     context.lines = lines
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry.forwarding import agent_turns
 from gentianpoint_entry.forwarding import agent_watch
 from gentianpoint_entry.forwarding import engine_reports
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("AgentConnections",)
@@ -55,17 +55,17 @@
         self,
         registry: targets.TargetRegistry,
         find_agent: FindAgent,
-        news: fleet_news.FleetNews,
+        gossip: gossip_state.GossipState,
     ) -> None:
         """Connect to the agents of the targets in ``registry``.
 
-        Reports are exchanged with the other entries through ``news``.
+        Reports are exchanged with the other entries through ``gossip``.
         """
         self._registry: typing.Final = registry
         self._find_agent: typing.Final = find_agent
-        self._news: typing.Final = news
-        news.take_report = self._take_forwarded_report
-        self._watch: typing.Final = agent_watch.AgentWatch(news.members)
+        self._gossip: typing.Final = gossip
+        gossip.handle_report = self._take_forwarded_report
+        self._watch: typing.Final = agent_watch.AgentWatch(gossip.members)
         self._connections: typing.Final[dict[targets.Target, _Connection]] = {}
         self._by_agent: typing.Final[dict[str, targets.Target]] = {}
         self._check_now = trio.Event()
@@ -198,7 +198,7 @@
             raise peer_connections.PeerConnectionError(
                 "decode message", agent, str(error)
             ) from error
-        self._news.put_report(agent, report)
+        self._gossip.put_report(agent, report)
         self._apply(target, report)
 
     def _apply(
@@ -231,7 +231,7 @@
         peer_connections.log_loss(error)
         if target.report is None or target.report.is_leaving:
             return
-        if not self._news.passes_reports():
+        if not self._gossip.relays_reports():
             # No other entry passes reports on, and old figures mislead more
             # than none.
             target.report = None
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_calls.py
@@ -23,6 +23,6 @@
         started then stays unfinished, and the caller sees that.
         """
 
-    def describe_pace(self) -> dict[str, typing.Any]:
+    def describe_timing(self) -> dict[str, typing.Any]:
         """Return the timing fields for the log line that ends the request."""
         return {}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
@@ -94,7 +94,7 @@
             busy_connections=self._callers.active_requests,
         )
         await trio.sleep(
-            min(leaving.NOTICE_MS / 1000, self._shut_down_within_s / 2)
+            min(leaving.READINESS_LAG_MS / 1000, self._shut_down_within_s / 2)
         )
         while trio.current_time() < self._stops_at:
             self._callers.close_idle()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -37,7 +37,7 @@
 while targets are idle."""
 
 
-class TargetListing(topic_follower.RecordReader):
+class TargetListing(topic_follower.RecordConsumer):
     """Applies records of the list to the registry of targets."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._is_available = True
         self.has_read = False
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Apply the whole list."""
         listed = set()
         for record in records:
@@ -95,12 +95,12 @@
             service=entry.service,
         )
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Apply one target's entry, or its removal."""
         if record.value is None or not self._put(record):
             self._drop(record.key)
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Record whether the log is available, and drop overdue targets.
 
         Targets that went missing during an outage are dropped once they have
@@ -154,8 +154,8 @@
             del self._addresses[next(iter(self._addresses))]
 
     def _drop(self, target_id: str) -> None:
-        # The first read after an outage arrives before note_source reports
-        # that the log is available again.
+        # The first read after an outage is applied before
+        # note_log_availability is told that the log is available again.
         is_settled = trio.current_time() >= self._settled_at
         if not self._is_available or not is_settled:
             self._missing.add(target_id)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -198,7 +198,11 @@
         ] = {}
 
     def note_leaving_notice(self, now: float) -> None:
-        """Record when a target was last given notice; see ``choice``."""
+        """Record when a target was last given notice.
+
+        No generations are backed up for a while after that; see
+        ``target_selection``.
+        """
         self.last_leaving_notice_at = now
 
     def put_entry(
