--- a/packages/gentianpoint-entry/features/forwarding/steps/caller_connections_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/caller_connections_steps.py
@@ -13,11 +13,14 @@
 _LIMITS = routes.CallerLimits(
     header_bytes=4096, body_bytes=1000, header_ms=2000, idle_ms=2000
 )
-_KEEP = "Host: a\r\n"
-_CLOSE = f"{_KEEP}Connection: close\r\n"
-"""The server closes the connection, so that readers see the end at once."""
+_HEADERS = "Host: a\r\n"
+_CLOSE = f"{_HEADERS}Connection: close\r\n"
+"""With these the server closes the connection after its answer, so that the
+reader sees the end at once."""
 _FORMS = {
-    "request on a kept-alive connection": f"GET /a/b HTTP/1.1\r\n{_KEEP}\r\n",
+    "request on a kept-alive connection": (
+        f"GET /a/b HTTP/1.1\r\n{_HEADERS}\r\n"
+    ),
     "plain request": f"GET /a/b HTTP/1.1\r\n{_CLOSE}\r\n",
     "request with an odd path": f"GET /a%2Fb/? HTTP/1.1\r\n{_CLOSE}\r\n",
     "request with a query": f"GET /a?x=1&&y=% HTTP/1.1\r\n{_CLOSE}\r\n",
--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -86,11 +86,11 @@
 
 
 def start_engine(context, service, healthy_at=1, address=ENGINE_ADDRESS):
-    place = engine_announcement.EngineLocation(service, address, "north")
+    location = engine_announcement.EngineLocation(service, address, "north")
 
     async def run():
-        announcement = engine_announcement.EngineAnnouncer(
-            place, FakeEngine(healthy_at), context.seeds
+        announcer = engine_announcement.EngineAnnouncer(
+            location, FakeEngine(healthy_at), context.seeds
         )
         async with trio.open_nursery() as nursery:
             for entry in context.entries:
@@ -99,8 +99,8 @@
                 entry.peers.count_connected() < 1 for entry in context.entries
             ):
                 await trio.sleep(0.01)
-            nursery.start_soon(announcement.run)
-            announcement.note_start(0)
+            nursery.start_soon(announcer.run)
+            announcer.note_start(0)
             while not all(entry.handled for entry in context.entries):
                 await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/agent_connections.py
@@ -179,14 +179,14 @@
                     message = await connection.receive()
                     match message["type"]:
                         case "engine_state":
-                            self._take_state(target, agent, message)
+                            self._handle_state(target, agent, message)
                         case "move_turn":
                             turns.mark_granted(message["request"])
         finally:
             target.turns = None
             turns.close()
 
-    def _take_state(
+    def _handle_state(
         self,
         target: targets.Target,
         agent: str,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, readiness probes and scrapers, and shuts down."""
+"""Serves callers, readiness probes and scrapers until the entry stops."""
 
 from collections import abc
 import typing
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/routes.py
@@ -70,7 +70,7 @@
     is_public: bool
     """True when callers need no key."""
     is_generation: bool
-    """True when requests tell the lengths and parts of a prompt."""
+    """True when requests carry the lengths and parts of a prompt."""
 
     def may_repeat(self) -> bool:
         """Tell whether a request that may have run may be run again."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -52,7 +52,9 @@
         self._dropped: typing.Final[collections.deque[str]] = (
             collections.deque(maxlen=_MAX_DROPPED)
         )
+        # Used as an ordered set, oldest first.
         self._addresses: typing.Final[dict[str, None]] = {}
+        # From then on, targets that are missing from the list are dropped.
         self._settled_at = -1.0
         self._is_available = True
         self.has_read = False
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/targets.py
@@ -93,7 +93,9 @@
     def __init__(self, entry: TargetEntry, now: float) -> None:
         """Start from the target's own entry; ``now`` is trio's time."""
         self.entry = entry
+        # True once it has been removed from the registry.
         self.is_gone = False
+        # True once another target was found to have its address.
         self.is_replaced = False
         # Offset of its newest record in the list.
         self.offset = _NOT_LISTED
@@ -108,6 +110,7 @@
         self.tokens_since_report = 0
         self.open_requests = 0
         self.open_tokens = 0
+        # Since when it has had open requests without a break.
         self.busy_since = math.inf
         # Prompt tokens of this entry's requests alone: of those that have no
         # event yet, and of those that were sent after the report was made.
