--- a/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
@@ -1,7 +1,7 @@
-"""A fleet of entries that exchange news over connections of a virtual clock.
+"""A fleet of entries that gossip over fake connections on a mock clock.
 
-Messages go through the codec as they do between processes; only sockets are
-left out. Connections follow what each entry's table of members asks for.
+Messages are encoded and decoded as between processes; only sockets are left
+out. Each entry opens the connections that its table of members asks for.
 """
 
 from collections import abc
@@ -18,7 +18,7 @@
 from gentianpoint_entry.forwarding import targets
 from gentianpoint_entry.forwarding import topic_follower
 
-_LOOK_S: typing.Final = 0.25
+_CONNECTION_CHECK_S: typing.Final = 0.25
 _TRANSIT_S: typing.Final = 0.002
 _DATA_CENTRES: typing.Final = 5
 TOPIC: typing.Final = "topic"
@@ -27,7 +27,7 @@
 def make_report(
     *, number: int, made_at: float, run: int = 1, is_leaving: bool = False
 ) -> targets.EngineReport:
-    """Return a report that an agent made at a moment of this clock."""
+    """Return a report that an agent made at ``made_at`` on trio's clock."""
     return targets.EngineReport(
         received_at=made_at,
         running=2,
@@ -50,11 +50,11 @@
     def __init__(self, sender: "Entry", receiver: "Entry") -> None:
         self.sender: typing.Final = sender
         self.receiver: typing.Final = receiver
-        self.news: typing.Final = gossip_state.LinkState(trio.current_time())
+        self.gossip: typing.Final = gossip_state.LinkState(trio.current_time())
 
 
 class Entry:
-    """One entry: its members, its news, and its topic if it has one."""
+    """One entry: its members, its gossip, and its topic if it follows one."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.number: typing.Final = number
@@ -63,8 +63,8 @@
         self.table: typing.Final = members.MemberTable(
             self.address, data_centre
         )
-        self.news: typing.Final = gossip_state.GossipState(self.table)
-        self.news.handle_report = self._take_report
+        self.gossip: typing.Final = gossip_state.GossipState(self.table)
+        self.gossip.handle_report = self._take_report
         self.fleet: typing.Final = fleet
         self.links: typing.Final[dict[str, Link]] = {}
         self.seeds: tuple[str, ...] = ()
@@ -72,26 +72,26 @@
         self.heard_at: typing.Final[dict[str, float]] = {}
         self.follower: typing.Optional[topic_follower.TopicFollower] = None
         self.is_stopped = False
-        self._clock: typing.Final = gossip_state.LinkState(0.0)
+        self._link_state: typing.Final = gossip_state.LinkState(0.0)
         self.sent = 0
         self.sent_bytes = 0
 
     def follow(
         self,
         topic: ports.KeyedTopic,
-        reader: topic_follower.RecordConsumer,
-        pace: topic_follower.PollTiming,
+        consumer: topic_follower.RecordConsumer,
+        timing: topic_follower.PollTiming,
     ) -> None:
-        """Follow the log's topic together with the others."""
+        """Follow the log's topic, sharing polls with the other entries."""
         self.follower = topic_follower.TopicFollower(
             TOPIC,
             topic,
-            reader,
-            pace,
+            consumer,
+            timing,
             lambda: (),
-            entry_peers.make_rank_lookup(self.news, TOPIC),
+            entry_peers.make_rank_lookup(self.gossip, TOPIC),
         )
-        self.news.add_topic(self.follower)
+        self.gossip.add_topic(self.follower)
 
     def _take_report(self, agent: str, report: targets.EngineReport) -> None:
         self.reports[agent] = report
@@ -103,20 +103,22 @@
         return wanted | (set(self.seeds) - set(self.table.list_live()))
 
     async def run(self) -> None:
-        """Look at connections, and send what they lack, until stopped."""
+        """Update the connections and send gossip until stopped."""
         async with trio.open_nursery() as nursery:
             if self.follower is not None:
                 nursery.start_soon(self.follower.run)
             while not self.is_stopped:
-                self.news.tick()
+                self.gossip.tick()
                 self.fleet.connect(self)
-                await self._send_all()
-                await self.news.wait_urgent(self._clock, _LOOK_S)
+                await self._send_gossip()
+                await self.gossip.wait_for_urgent(
+                    self._link_state, _CONNECTION_CHECK_S
+                )
             nursery.cancel_scope.cancel()
 
-    async def _send_all(self) -> None:
+    async def _send_gossip(self) -> None:
         for link in list(self.links.values()):
-            message = self.news.collect(link.news)
+            message = self.gossip.build_message(link.gossip)
             if message is None:
                 continue
             data = codec.encode_message(message)
@@ -124,42 +126,44 @@
             self.sent_bytes += len(data)
             self.fleet.deliver(link, data)
 
-    def take(self, sender: str, data: bytes) -> None:
-        """Take a message that another entry sent."""
+    def receive(self, sender: str, data: bytes) -> None:
+        """Handle a message that another entry sent."""
         link = self.links.get(sender)
         if link is None or self.is_stopped:
             return
         message = codec.decode_message(data, sender).ok
-        for name, news in self.news.take(link.news, message):
-            follower = self.news.find_topic(name)
+        for name, progress in self.gossip.apply_message(link.gossip, message):
+            follower = self.gossip.find_topic(name)
             if follower is not None:
-                follower.offer(_FleetTopic(link.receiver, self), news)
+                follower.offer(_FleetTopic(link.receiver, self), progress)
 
 
 class _FleetTopic(ports.KeyedTopic):
-    """The topic as another entry of the fleet has it."""
+    """The copy of the topic that another entry of the fleet has."""
 
-    def __init__(self, entry: Entry, asker: Entry) -> None:
+    def __init__(self, entry: Entry, requester: Entry) -> None:
         self._entry: typing.Final = entry
-        self._asker: typing.Final = asker
+        self._requester: typing.Final = requester
 
     async def read_newest(self, within_ms: float) -> ports.KeyedSlice:
-        return _decode(await self._ask(0))
+        return _decode(await self._request_records(0))
 
     async def read_changes(
         self, start: int, wait_ms: int, within_ms: float
     ) -> ports.KeyedSlice:
-        answer = await self._ask(start)
+        answer = await self._request_records(start)
         if answer["whole"]:
             raise ports.RecordsExpiredError(TOPIC)
         return _decode(answer)
 
-    async def _ask(self, start: int) -> abc.Mapping[str, typing.Any]:
+    async def _request_records(
+        self, start: int
+    ) -> abc.Mapping[str, typing.Any]:
         await trio.sleep(2 * _TRANSIT_S)
-        ends = {self._entry.address, self._asker.address}
+        ends = {self._entry.address, self._requester.address}
         if self._entry.is_stopped or self._entry.fleet.cut_off & ends:
             raise ports.PortError("ask", "entry", "gone", took_effect=False)
-        return peer_links.find_records(
+        return peer_links.make_records_answer(
             {"number": 1, "start": start}, self._entry.follower
         )
 
@@ -173,7 +177,7 @@
 
 
 class Fleet:
-    """Entries, and the connections between those that run."""
+    """Entries, and the connections between the running ones."""
 
     def __init__(self, count: int) -> None:
         self._count: typing.Final = count
@@ -182,13 +186,13 @@
         self._nursery: typing.Optional[trio.Nursery] = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Start all entries; each knows the first three."""
+        """Add all entries; each knows the first three."""
         self._nursery = nursery
         for number in range(self._count):
             self.add(number)
 
     def add(self, number: int) -> Entry:
-        """Start the entry with a number."""
+        """Add the entry with a number."""
         assert self._nursery is not None
         entry = Entry(self, number)
         entry.seeds = tuple(
@@ -200,26 +204,26 @@
         return entry
 
     def run_all(self) -> None:
-        """Let the entries that were added run."""
+        """Run the entries that were added."""
         assert self._nursery is not None
         for entry in self.entries.values():
             self._nursery.start_soon(entry.run)
 
     def stop(self, entry: Entry) -> None:
-        """End an entry; its connections are lost with it."""
+        """Stop an entry and drop its connections."""
         entry.is_stopped = True
         del self.entries[entry.address]
         for address in list(entry.links):
             self._drop(entry, address)
 
     def restart(self, entry: Entry) -> None:
-        """End an entry and start it again at its address."""
+        """Stop an entry and start it again at its address."""
         assert self._nursery is not None
         self.stop(entry)
         self._nursery.start_soon(self.add(entry.number).run)
 
     def connect(self, entry: Entry) -> None:
-        """Open what an entry wants, and close what neither end does."""
+        """Open connections that an entry wants; close unwanted ones."""
         wanted = entry.find_wanted()
         for address in wanted - set(entry.links):
             other = self.entries.get(address)
@@ -239,7 +243,7 @@
         other.links.pop(entry.address, None)
 
     def deliver(self, link: Link, data: bytes) -> None:
-        """Bring a message to the other end, a little later."""
+        """Deliver a message to the other end after the transit time."""
         assert self._nursery is not None
         if self.cut_off & {link.sender.address, link.receiver.address}:
             return
@@ -248,4 +252,4 @@
 
 async def _deliver(link: Link, data: bytes) -> None:
     await trio.sleep(_TRANSIT_S)
-    link.receiver.take(link.sender.address, data)
+    link.receiver.receive(link.sender.address, data)
--- a/packages/gentianpoint-entry/features/forwarding/fleet_log.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_log.py
@@ -1,4 +1,4 @@
-"""A log that all entries of a fleet read, and when each has a record."""
+"""A fleet whose entries follow one topic of a shared fake log."""
 
 from collections import abc
 import typing
@@ -13,11 +13,11 @@
 
 
 class FleetLog:
-    """One topic, which may turn some entries away."""
+    """A log with one topic, which may reject some entries."""
 
     def __init__(self) -> None:
         self.records = [ports.KeyedRecord("first", b"value", 0)]
-        self.turned_away: set[str] = set()
+        self.rejected: set[str] = set()
         self.calls = 0
         self._written = trio.Event()
 
@@ -33,19 +33,17 @@
     ) -> ports.KeyedSlice:
         """Return the records from ``start`` on, for one entry."""
         self.calls += 1
-        if address not in self.turned_away and start >= len(self.records):
+        if address not in self.rejected and start >= len(self.records):
             with trio.move_on_after(wait_ms / 1000):
                 await self._written.wait()
         await trio.sleep(_ANSWER_S)
-        if address in self.turned_away:
-            raise ports.PortError(
-                "read", "log", "turned away", took_effect=False
-            )
+        if address in self.rejected:
+            raise ports.PortError("read", "log", "rejected", took_effect=False)
         return ports.KeyedSlice(self.records[start:], len(self.records))
 
 
 class EntryTopic(ports.KeyedTopic):
-    """The topic as the log gives it to one entry."""
+    """The topic of the log, read by one entry."""
 
     def __init__(self, log: FleetLog, address: str) -> None:
         self._log: typing.Final = log
@@ -62,50 +60,50 @@
         return await self._log.read(self._address, start, wait_ms)
 
 
-class MomentsReader(topic_follower.RecordConsumer):
-    """Notes when it was first given each key."""
+class TimingConsumer(topic_follower.RecordConsumer):
+    """Records when each key was first received."""
 
     def __init__(self) -> None:
-        self.moments: typing.Final[dict[str, float]] = {}
+        self.received_at: typing.Final[dict[str, float]] = {}
         self.outages = 0
 
     def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
-        """Take a whole state."""
+        """Apply a snapshot."""
         for record in records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one record."""
-        self.moments.setdefault(record.key, trio.current_time())
+        """Record when the key came first."""
+        self.received_at.setdefault(record.key, trio.current_time())
 
     def note_log_availability(self, *, is_available: bool) -> None:
-        """Count the times that the log was away."""
+        """Count the notes that the log is unavailable."""
         self.outages += not is_available
 
 
-class ReadingFleet:
+class PollingFleet:
     """Entries that follow one topic together."""
 
-    def __init__(self, count: int, pace: topic_follower.PollTiming) -> None:
+    def __init__(self, count: int, timing: topic_follower.PollTiming) -> None:
         self.log: typing.Final = FleetLog()
         self.fleet: typing.Final = fleet_builders.Fleet(count)
-        self.readers: typing.Final[dict[str, MomentsReader]] = {}
-        self._pace: typing.Final = pace
+        self.consumers: typing.Final[dict[str, TimingConsumer]] = {}
+        self._timing: typing.Final = timing
 
     def start(self, nursery: trio.Nursery) -> None:
         """Start all entries."""
         self.fleet.start(nursery)
         for entry in self.fleet.entries.values():
-            reader = MomentsReader()
-            self.readers[entry.address] = reader
+            consumer = TimingConsumer()
+            self.consumers[entry.address] = consumer
             topic = EntryTopic(self.log, entry.address)
-            entry.follow(topic, reader, self._pace)
+            entry.follow(topic, consumer, self._timing)
         self.fleet.run_all()
 
-    def find_first(self) -> fleet_builders.Entry:
-        """Return the entry that reads all the while."""
+    def find_first_reader(self) -> fleet_builders.Entry:
+        """Return the entry that polls without waiting for others."""
         for entry in self.fleet.entries.values():
             assert entry.follower is not None
-            if entry.follower.is_first():
+            if entry.follower.is_primary_reader():
                 return entry
-        raise AssertionError("no entry reads")
+        raise AssertionError("no entry polls")
--- a/packages/gentianpoint-entry/features/forwarding/peer_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/peer_builders.py
@@ -1,4 +1,4 @@
-"""Connections to other processes whose messages a test gives."""
+"""Fake connections to other processes."""
 
 from collections import abc
 import math
@@ -13,14 +13,14 @@
 
 
 class ScriptedConnection:
-    """A connection that brings given messages, and then ends."""
+    """A connection that receives given messages, and then ends."""
 
     peer = "10.0.0.2:80"
 
     def __init__(
         self, messages: abc.Iterable[abc.Mapping[str, typing.Any]]
     ) -> None:
-        """Bring ``messages`` as they would come on the wire."""
+        """Receive ``messages``, encoded as on the wire."""
         self.sent: typing.Final[list[abc.Mapping[str, typing.Any]]] = []
         self._data: typing.Final = [
             codec.encode_message(message) for message in messages
@@ -41,11 +41,11 @@
         return result.ok
 
     async def send(self, message: abc.Mapping[str, typing.Any]) -> None:
-        """Note a message that can be encoded."""
+        """Record a message; raises if it can't be encoded."""
         await trio.lowlevel.checkpoint()
         codec.encode_message(message)
         self.sent.append(message)
 
     async def keep_alive(self, is_busy: abc.Callable[[], bool]) -> None:
-        """Stay for as long as the test wants."""
+        """Wait until cancelled."""
         await trio.sleep(math.inf)
--- a/packages/gentianpoint-entry/features/forwarding/peer_messages.feature
+++ b/packages/gentianpoint-entry/features/forwarding/peer_messages.feature
@@ -1,24 +1,26 @@
 Feature: Messages from other processes never end an entry
-  Other entries and agents may be of another release, or broken. Whatever a
-  message says, at most the connection that brought it ends.
+  Other entries and agents may run another release, or be faulty. Whatever a
+  message contains, at most the connection that it came over ends.
 
-  Scenario: messages of entries and agents that connect
-    An error that the connections' task does not expect would end the entry,
-    with all entries that the news is passed on to.
-    Then whatever other entries send, only the connection ends, and what is passed on is sent
+  Scenario: arbitrary messages of entries and agents that connect
+    An exception that the connection's task does not expect would end the
+    entry, and then every entry that the gossip is passed on to.
+    Then whatever other entries send, only the connection ends, and what is passed on can be sent
 
-  Scenario: reports of an agent
-    Then whatever an agent sends, only the connection ends, and engines can be chosen among
+  Scenario: arbitrary reports of an agent
+    Then whatever an agent sends, only the connection ends, and a target can be chosen
 
-  Scenario: more answers than questions
-    An entry answers again and again. Only one of the answers is waited for.
+  Scenario: more answers than requests
+    An entry answers the same request several times. Only the first answer is
+    waited for.
     Given an entry that asks another one for records
     When three answers come at once
     Then the records are read
 
-  Scenario Outline: an address that is none
-    Members are told of from entry to entry, and each connects to some.
-    Then connecting to <address> fails as to one that can't be reached
+  Scenario Outline: an invalid address
+    Addresses of members are passed on from entry to entry, and each entry
+    connects to some of them.
+    Then connecting to <address> fails as if it could not be reached
 
     Examples:
       | address     |
--- a/packages/gentianpoint-entry/features/forwarding/shared_readings.feature
+++ b/packages/gentianpoint-entry/features/forwarding/shared_readings.feature
@@ -1,10 +1,11 @@
-Feature: Entries share their readings of the log
-  Calls to the log are priced and limited. One entry reads a topic for all, and
-  another one takes over when nothing is heard of it.
+Feature: Entries share their polls of the log
+  Calls to the log are priced and limited. One entry polls a topic for all
+  entries, and another one takes over when nothing is heard of it. A waiting
+  topic is read by long polls, a pausing one by short polls with pauses.
 
-  Scenario Outline: what a topic costs
-    Where each entry reads for itself, the calls grow with the entries, and
-    buy nothing.
+  Scenario Outline: calls to the log for one topic
+    If every entry polled for itself, the number of calls would grow with the
+    number of entries without any gain.
     Given <count> entries that follow a <kind> topic within 2000 ms
     When they follow it for 20 seconds
     Then the log is called at most <most> times a second after the start
@@ -17,10 +18,10 @@
       | 5     | pausing | 2    |
       | 68    | pausing | 2    |
 
-  Scenario Outline: the entry that reads is gone
-    It stops, freezes, or is cut off from the log or from the others at any
-    phase of its readings, and a record is written at the same moment or soon
-    after. Entries that went on to wait for it would let a revoked key in, or
+  Scenario Outline: the entry that polls fails
+    It stops, freezes, or is cut off from the log or from the other entries, at
+    any point of its poll cycle, and a record is written at the same moment or
+    soon after. Entries that kept waiting for it would accept a revoked key, or
     send requests to a target that has left.
     Given 12 entries that follow a <kind> topic within 2000 ms
     When the first reader <fault> at any phase, and a record is written <later> ms later
@@ -39,40 +40,42 @@
       | pausing | is turned away by the log    | 400   |
       | pausing | is cut off from the others   | 400   |
 
-  Scenario: most entries are turned away by the log
-    It serves three in ten. The others have what those read, or they refuse
-    callers by an old version for as long as that lasts.
+  Scenario: the log rejects most entries
+    It answers three in ten entries. Unless the others get the records from
+    those, they refuse callers by an outdated configuration meanwhile.
     Given 12 entries that follow a waiting topic within 2000 ms
-    When the log turns all but 3 entries away, and a record is written 400 ms later
+    When the log rejects all but 3 entries, and a record is written 400 ms later
     Then all others have each record within 2000 ms
 
-  Scenario: news that waited in a frozen entry
-    An entry is frozen for three seconds and finds what others told it before.
-    Taken as fresh and passed on, it would keep entries from reading whose
-    reader is gone.
+  Scenario: a message is delayed by a frozen entry
+    An entry is frozen for three seconds and then reads the gossip that arrived
+    meanwhile. If it took that as fresh and passed it on, entries would not
+    poll the log although their reader is gone.
     Given a connection on which messages take 3 ms
     When one message takes 3003 ms
-    Then it counts as having waited 3000 ms
+    Then it counts as delayed by 3000 ms
 
-  Scenario: another entry has a record that a held reading missed
-    The log did not wake this entry's reading by a record under way, so its
-    last reading is later than that of the entry that has the record. Going by
-    the moments alone, the record would be left until the next reading.
+  Scenario: a peer has a record that a long poll missed
+    A record that was being appended did not wake this entry's long poll. So
+    this entry confirmed the topic later than the peer that has the record.
+    Compared by time only, the record would be left until the next poll.
     Given an entry that read a topic without record 1 at 2.0 s
     When it hears that another entry had record 1 at 1.5 s
     Then it has record 1 at once
 
-  Scenario: other entries lose the log and have it back by turns
-    The log turns the readers away one after the other and serves all others.
-    Taken for an outage of the log, each return would put off what targets that
-    have left are dropped by, and requests went to one for nine seconds.
+  Scenario: the log rejects the first two readers by turns
+    The log rejects one of the readers after the other and answers all other
+    entries. If that counted as an outage of the log, each recovery would
+    delay the removal of targets that have left, and requests were sent to
+    such a target for nine seconds.
     Given 12 entries that follow a pausing topic within 4000 ms
-    When the log turns the first two readers away by turns for 12 seconds
-    Then no other entry takes the log for having been away
+    When the log rejects the first two readers by turns for 12 seconds
+    Then no other entry notes an outage of the log
 
-  Scenario: the log is away for all
-    Entries of targets lapse meanwhile. An entry that only hears of readings
-    would drop targets that are well as the log returns.
+  Scenario: the log rejects all entries
+    Records of targets lapse meanwhile. An entry that only hears of polls by
+    others must note the outage too, or it would remove running targets when
+    the log is back.
     Given 12 entries that follow a pausing topic within 4000 ms
-    When the log turns all away for 5 seconds
-    Then each entry takes the log for having been away
+    When the log rejects all entries for 5 seconds
+    Then each entry notes an outage of the log
--- a/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what entries tell each other."""
+"""Steps for gossip among entries."""
 
 import behave
 import fleet_builders
@@ -9,7 +9,7 @@
 
 AGENT = "10.9.0.1:7000"
 _BYTES_OVER_S = 10.0
-_GROUP = 10
+_GROUP_SIZE = 10
 
 
 @behave.given("a fleet of {count:d} entries")
@@ -19,19 +19,18 @@
 
 
 @behave.given(
-    "a fleet of {count:d} entries in two groups that know nothing of each"
-    " other"
+    "a fleet of {count:d} entries in two groups that do not know each other"
 )
 def make_groups(context, count):
     make_fleet(context, count)
 
 
 @behave.when("{seconds:d} seconds pass after its start")
-def start(context, seconds):
+def run_for(context, seconds):
     context.actions.append(lambda fleet: trio.sleep(seconds))
 
 
-def play(context, *more):
+def run_fleet(context, *more):
     async def run():
         context.fleet = fleet_builders.Fleet(context.count)
         async with trio.open_nursery() as nursery:
@@ -46,7 +45,7 @@
 
 @behave.then("each entry counts {count:d} members")
 def check_count(context, count):
-    play(context)
+    run_fleet(context)
     counts = {entry.table.count() for entry in get_entries(context)}
     assert counts == {count}, counts
 
@@ -74,20 +73,20 @@
             for entry, sent in before.items()
         ]
 
-    play(context, measure)
+    run_fleet(context, measure)
     assert 0 < max(context.rates) <= most, max(context.rates)
 
 
 @behave.when("an entry is told to stop")
-def tell_to_stop(context):
+def announce_stop(context):
     async def leave(fleet):
-        list(fleet.entries.values())[-1].news.leave()
+        list(fleet.entries.values())[-1].gossip.leave()
 
     context.actions.append(leave)
 
 
 @behave.when("{seconds:d} seconds later it has started again at its address")
-def start_again(context, seconds):
+def restart_entry(context, seconds):
     async def restart(fleet):
         await trio.sleep(seconds)
         fleet.restart(list(fleet.entries.values())[-1])
@@ -104,7 +103,7 @@
         context.counts = count_leaving(fleet)
 
     context.actions.append(wait)
-    play(context)
+    run_fleet(context)
     assert not context.is_late, context.counts
 
 
@@ -112,9 +111,9 @@
     now = trio.current_time()
     return [
         sum(
-            passed_ms is not None
+            duration_ms is not None
             for is_near in (True, False)
-            for passed_ms in entry.table.list_leaving_durations_ms(
+            for duration_ms in entry.table.list_leaving_durations_ms(
                 now, is_near=is_near
             )
         )
@@ -123,80 +122,80 @@
 
 
 @behave.then("all know within {within_ms:d} ms that one entry is leaving")
-def check_one_leaves(context, within_ms):
+def check_one_leaving(context, within_ms):
     check_leaving(context, 1, within_ms)
 
 
 @behave.then("all know within {within_ms:d} ms that no entry is leaving")
-def check_none_leaves(context, within_ms):
+def check_none_leaving(context, within_ms):
     check_leaving(context, 0, within_ms)
 
 
 @behave.when("{count:d} entries hear that an engine is leaving")
-def tell_notice(context, count):
-    async def tell(fleet):
-        context.told_at = trio.current_time()
+def report_leaving(context, count):
+    async def hear(fleet):
+        context.reported_at = trio.current_time()
         report = fleet_builders.make_report(
             number=5, made_at=trio.current_time(), is_leaving=True
         )
         for entry in list(fleet.entries.values())[-count:]:
-            entry.news.put_report(AGENT, report)
+            entry.gossip.put_report(AGENT, report)
             entry.heard_at[AGENT] = trio.current_time()
         await trio.sleep(1)
 
-    context.actions.append(tell)
+    context.actions.append(hear)
 
 
 @behave.then("all entries know within {within_ms:d} ms")
-def check_notice(context, within_ms):
-    play(context)
-    moments = [
+def check_leaving_known(context, within_ms):
+    run_fleet(context)
+    heard_at = [
         entry.heard_at.get(AGENT, float("inf"))
         for entry in get_entries(context)
     ]
-    assert len(moments) == context.count
-    took_ms = (max(moments) - context.told_at) * 1000
+    assert len(heard_at) == context.count
+    took_ms = (max(heard_at) - context.reported_at) * 1000
     assert took_ms <= within_ms, took_ms
 
 
-def tell_reports(context, *versions):
-    async def tell(fleet):
+def put_reports(context, *versions):
+    async def hear(fleet):
         entry = next(iter(fleet.entries.values()))
         for run, number in versions:
             report = fleet_builders.make_report(
                 run=run, number=number, made_at=trio.current_time()
             )
-            entry.news.put_report(AGENT, report)
+            entry.gossip.put_report(AGENT, report)
             await trio.sleep(1)
 
-    context.actions.append(tell)
+    context.actions.append(hear)
 
 
 @behave.when(
     "an entry hears report {first:d} and then report {second:d} of an agent"
 )
-def tell_late(context, first, second):
-    tell_reports(context, (1, first), (1, second))
+def report_late(context, first, second):
+    put_reports(context, (1, first), (1, second))
 
 
 @behave.when(
     "an entry hears report {first:d} of an agent, and report {second:d} of"
     " its next run"
 )
-def tell_next_run(context, first, second):
-    tell_reports(context, (2, first), (1, second))
+def report_next_run(context, first, second):
+    put_reports(context, (2, first), (1, second))
 
 
-@behave.then("no entry believes report {number:d}")
-def check_unbelieved(context, number):
-    play(context)
+@behave.then("no entry accepts report {number:d}")
+def check_rejected(context, number):
+    run_fleet(context)
     others = list(get_entries(context))[1:]
     assert {entry.reports[AGENT].number for entry in others} == {number + 1}
 
 
-@behave.then("all entries believe report {number:d}")
-def check_believed(context, number):
-    play(context)
+@behave.then("all entries accept report {number:d}")
+def check_accepted(context, number):
+    run_fleet(context)
     others = list(get_entries(context))[1:]
     assert {entry.reports[AGENT].number for entry in others} == {number}
 
@@ -212,9 +211,9 @@
     context.actions.append(stop)
 
 
-@behave.then("no other entry takes it for a live one")
+@behave.then("no other entry counts it as live")
 def check_stopped(context):
-    play(context)
+    run_fleet(context)
     assert not any(
         context.stopped in entry.table.list_live()
         for entry in get_entries(context)
@@ -231,7 +230,7 @@
 
 
 @behave.given("a table of {count:d} members that have just been heard")
-def make_large_table(context, count):
+def make_heard_table(context, count):
     context.members = members.MemberTable("10.0.0.1:80", "north")
     for number in range(count - 1):
         address = f"10.1.{number // 200}.{number % 200}:80"
@@ -254,7 +253,7 @@
 
 
 @behave.when("an entry of each is told the address of one of the other")
-def join_groups(context):
+def merge_groups(context):
     async def join(fleet):
         await trio.sleep(6)
         first, *_, last = fleet.entries.values()
@@ -264,7 +263,11 @@
     def split(fleet):
         entries = list(fleet.entries.values())
         for number, entry in enumerate(entries):
-            group = entries[:_GROUP] if number < _GROUP else entries[_GROUP:]
+            group = (
+                entries[:_GROUP_SIZE]
+                if number < _GROUP_SIZE
+                else entries[_GROUP_SIZE:]
+            )
             entry.seeds = (group[0].address,)
         return trio.sleep(0)
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -46,16 +46,16 @@
 )
 
 
-def make_rows(kinds):
-    # The classes of messages name only these types.
+def make_messages(kinds):
+    # The message classes have fields of these types only.
     strategies.register_type_strategy(int, NUMBERS)
     strategies.register_type_strategy(str, TEXTS)
-    drawn = [strategies.from_type(kind) for kind in kinds]
-    return strategies.lists(strategies.one_of(drawn), max_size=5)
+    options = [strategies.from_type(kind) for kind in kinds]
+    return strategies.lists(strategies.one_of(options), max_size=5)
 
 
-def try_all(kinds, bring):
-    """Bring messages of ``kinds`` in every way that is drawn."""
+def check_all(kinds, receive):
+    """Let ``receive`` handle random lists of messages of ``kinds``."""
 
     @hypothesis.settings(
         max_examples=EXAMPLES,
@@ -64,44 +64,44 @@
         database=None,
         suppress_health_check=list(hypothesis.HealthCheck),
     )
-    @hypothesis.given(make_rows(kinds))
-    def check(rows):
+    @hypothesis.given(make_messages(kinds))
+    def check(drawn):
         with testing.capture_logs():
-            topic_builders.run_on_mock_clock(functools.partial(bring, rows))
+            topic_builders.run_on_mock_clock(functools.partial(receive, drawn))
 
     check()
 
 
-class IdleReader(topic_follower.RecordConsumer):
-    """Takes records and does nothing with them."""
+class IgnoringConsumer(topic_follower.RecordConsumer):
+    """Ignores all records."""
 
     def apply_snapshot(self, records):
-        """Take the newest records."""
+        """Ignore a snapshot."""
 
     def apply_change(self, record):
-        """Take a change."""
+        """Ignore a change."""
 
     def note_log_availability(self, *, is_available):
-        """Learn nothing."""
+        """Ignore the state of the log."""
 
 
 def make_follower(peers):
     return topic_follower.TopicFollower(
         TOPIC,
         topic_builders.FakeTopic(2),
-        IdleReader(),
+        IgnoringConsumer(),
         topic_follower.make_long_poll_timing(2000),
         lambda: peers.list_peer_topics(TOPIC),
         lambda: 1,
     )
 
 
-async def bring_to_peers(rows):
-    news = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
-    peers = entry_peers.EntryPeers(news, ())
+async def send_to_peers(sent):
+    gossip = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
+    peers = entry_peers.EntryPeers(gossip, ())
     follower = make_follower(peers)
-    news.add_topic(follower)
-    connection = peer_builders.ScriptedConnection(rows)
+    gossip.add_topic(follower)
+    connection = peer_builders.ScriptedConnection(sent)
     link = peer_links.PeerLink(connection, is_dialled=False)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
@@ -110,33 +110,33 @@
             await peers._serve(link)
         except* peer_connections.PeerConnectionError:
             pass
-        news.tick()
+        gossip.tick()
         nursery.cancel_scope.cancel()
-    # Others are told, and are connected to.
+    # What was received can be passed on, and members can be connected to.
     other = peer_builders.ScriptedConnection(())
-    message = news.collect(gossip_state.LinkState(trio.current_time()))
+    message = gossip.build_message(gossip_state.LinkState(trio.current_time()))
     if message is not None:
         await other.send(message)
-    news.members.choose_neighbours(())
-    entry_peers.make_rank_lookup(news, TOPIC)()
+    gossip.members.choose_neighbours(())
+    entry_peers.make_rank_lookup(gossip, TOPIC)()
 
 
 @behave.then(
     "whatever other entries send, only the connection ends, and what is passed"
-    " on is sent"
+    " on can be sent"
 )
 def check_peers(context):
-    try_all(FROM_ENTRIES, bring_to_peers)
+    check_all(FROM_ENTRIES, send_to_peers)
 
 
-async def bring_to_feeds(rows):
+async def send_to_feeds(sent):
     board = targets.TargetBoard()
     target = board.put_entry(
         forwarding_builders.make_entry("a", born_ms=0), trio.current_time()
     )
-    news = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
-    feeds = agent_feeds.AgentFeeds(board, lambda _: AGENT, news)
-    connection = peer_builders.ScriptedConnection(rows)
+    gossip = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
+    feeds = agent_feeds.AgentFeeds(board, lambda _: AGENT, gossip)
+    connection = peer_builders.ScriptedConnection(sent)
     try:
         await feeds._take_reports(target, AGENT, connection)
     except* peer_connections.PeerConnectionError:
@@ -156,24 +156,24 @@
     )
     if target.leaves_at is not None:
         assert target.leaves_at.remaining_ms() >= 0
-    news.tick()
+    gossip.tick()
     for report in [target.report] if target.report else ():
-        news.put_report(AGENT, report)
-    message = news.collect(gossip_state.LinkState(trio.current_time()))
+        gossip.put_report(AGENT, report)
+    message = gossip.build_message(gossip_state.LinkState(trio.current_time()))
     if message is not None:
         await connection.send(message)
 
 
 @behave.then(
-    "whatever an agent sends, only the connection ends, and engines can be"
-    " chosen among"
+    "whatever an agent sends, only the connection ends, and a target can be"
+    " chosen"
 )
 def check_feeds(context):
-    try_all(FROM_AGENTS, bring_to_feeds)
+    check_all(FROM_AGENTS, send_to_feeds)
 
 
 @behave.given("an entry that asks another one for records")
-def make_question(context):
+def make_request(context):
     context.answer = {
         "type": "records_found",
         "number": 1,
@@ -185,7 +185,7 @@
 
 
 @behave.when("three answers come at once")
-def answer_again(context):
+def answer_repeatedly(context):
     async def run():
         connection = peer_builders.ScriptedConnection(())
         link = peer_links.PeerLink(connection, is_dialled=True)
@@ -198,7 +198,7 @@
             nursery.start_soon(ask)
             await trio.testing.wait_all_tasks_blocked()
             for _ in range(3):
-                link.take_answer(context.answer)
+                link.deliver_answer(context.answer)
 
     trio.run(run)
 
@@ -208,7 +208,7 @@
     assert context.found.end == 7
 
 
-@behave.then("connecting to {address} fails as to one that can't be reached")
+@behave.then("connecting to {address} fails as if it could not be reached")
 def check_address(context, address):
     async def run():
         async with peer_sockets.open_connection(address):
--- a/packages/gentianpoint-entry/features/forwarding/steps/shared_readings_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/shared_readings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for readings of the log that entries share."""
+"""Steps for polls of the log that entries share."""
 
 import behave
 import fleet_builders
@@ -12,9 +12,9 @@
 
 _START_S = 6.0
 _PHASES = 16
-_PHASE_S = 0.097
-_READ_ON_S = 3.0
-_PACES = {
+_PHASE_STEP_S = 0.097
+_SETTLE_S = 3.0
+_TIMINGS = {
     "waiting": topic_follower.make_long_poll_timing,
     "pausing": topic_follower.make_short_poll_timing,
 }
@@ -24,18 +24,18 @@
     "{count:d} entries that follow a {kind} topic within {within_ms:d} ms"
 )
 def make_entries(context, count, kind, within_ms):
-    context.make = lambda: fleet_log.ReadingFleet(
-        count, _PACES[kind](within_ms)
+    context.make_fleet = lambda: fleet_log.PollingFleet(
+        count, _TIMINGS[kind](within_ms)
     )
 
 
-def play(context, action):
+def run_fleet(context, action):
     async def run():
-        fleet = context.make()
+        polling_fleet = context.make_fleet()
         async with trio.open_nursery() as nursery:
-            fleet.start(nursery)
+            polling_fleet.start(nursery)
             await trio.sleep(_START_S)
-            await action(fleet)
+            await action(polling_fleet)
             nursery.cancel_scope.cancel()
 
     topic_builders.run_on_mock_clock(run)
@@ -48,7 +48,7 @@
         await trio.sleep(seconds)
         context.calls_per_s = (fleet.log.calls - before) / seconds
 
-    play(context, action)
+    run_fleet(context, action)
 
 
 @behave.then(
@@ -62,8 +62,8 @@
     fleet.fleet.stop(entry)
 
 
-def turn_away(fleet, entry):
-    fleet.log.turned_away.add(entry.address)
+def reject(fleet, entry):
+    fleet.log.rejected.add(entry.address)
 
 
 def cut_off(fleet, entry):
@@ -72,20 +72,20 @@
 
 _FAULTS = {
     "stops": stop,
-    "is turned away by the log": turn_away,
+    "is turned away by the log": reject,
     "is cut off from the others": cut_off,
 }
 
 
-async def write_and_wait(context, fleet, later_s, left_out):
+async def write_and_wait(context, fleet, later_s, excluded):
     await trio.sleep(later_s)
     written_at = trio.current_time()
     fleet.log.write("latest")
-    await trio.sleep(_READ_ON_S)
-    for address, reader in fleet.readers.items():
-        if address not in left_out:
-            came_at = reader.moments.get("latest", float("inf"))
-            context.late_ms.append((came_at - written_at) * 1000)
+    await trio.sleep(_SETTLE_S)
+    for address, consumer in fleet.consumers.items():
+        if address not in excluded:
+            came_at = consumer.received_at.get("latest", float("inf"))
+            context.delays_ms.append((came_at - written_at) * 1000)
 
 
 @behave.when(
@@ -93,64 +93,64 @@
     " {later_ms:d} ms later"
 )
 def fail_reader(context, fault, later_ms):
-    context.late_ms = []
+    context.delays_ms = []
     for phase in range(_PHASES):
 
         async def action(fleet, phase=phase):
-            await trio.sleep(phase * _PHASE_S)
-            first = fleet.find_first()
+            await trio.sleep(phase * _PHASE_STEP_S)
+            first = fleet.find_first_reader()
             _FAULTS[fault](fleet, first)
-            left_out = {first.address} if fault == "stops" else set()
-            await write_and_wait(context, fleet, later_ms / 1000, left_out)
+            excluded = {first.address} if fault == "stops" else set()
+            await write_and_wait(context, fleet, later_ms / 1000, excluded)
 
-        play(context, action)
+        run_fleet(context, action)
 
 
 @behave.when(
-    "the log turns all but {served:d} entries away, and a record is written"
+    "the log rejects all but {served:d} entries, and a record is written"
     " {later_ms:d} ms later"
 )
-def turn_most_away(context, served, later_ms):
-    context.late_ms = []
+def reject_most(context, served, later_ms):
+    context.delays_ms = []
 
     async def action(fleet):
-        addresses = list(fleet.readers)
-        fleet.log.turned_away.update(addresses[served:])
+        addresses = list(fleet.consumers)
+        fleet.log.rejected.update(addresses[served:])
         await write_and_wait(context, fleet, later_ms / 1000, set())
 
-    play(context, action)
+    run_fleet(context, action)
 
 
 @behave.then("all others have each record within {within_ms:d} ms")
-def check_late(context, within_ms):
-    assert context.late_ms
-    assert max(context.late_ms) <= within_ms, max(context.late_ms)
+def check_delays(context, within_ms):
+    assert context.delays_ms
+    assert max(context.delays_ms) <= within_ms, max(context.delays_ms)
 
 
 @behave.given("a connection on which messages take {took_ms:d} ms")
 def make_connection(context, took_ms):
-    context.delay = link_delay.LinkDelay(0.0)
+    context.link_delay = link_delay.LinkDelay(0.0)
     for sent_s in range(5):
-        context.delay.measure_s(sent_s + 500.0, sent_s + took_ms / 1000)
+        context.link_delay.measure_s(sent_s + 500.0, sent_s + took_ms / 1000)
 
 
 @behave.when("one message takes {took_ms:d} ms")
-def wait_long(context, took_ms):
-    context.waited_s = context.delay.measure_s(505.0, 5 + took_ms / 1000)
+def delay_message(context, took_ms):
+    context.delay_s = context.link_delay.measure_s(505.0, 5 + took_ms / 1000)
 
 
-@behave.then("it counts as having waited {waited_ms:d} ms")
-def check_waited(context, waited_ms):
-    assert round(context.waited_s * 1000) == waited_ms, context.waited_s
+@behave.then("it counts as delayed by {delay_ms:d} ms")
+def check_delay(context, delay_ms):
+    assert round(context.delay_s * 1000) == delay_ms, context.delay_s
 
 
 @behave.given("an entry that read a topic without record 1 at 2.0 s")
-def make_late_reader(context):
-    context.reader = topic_builders.NotingReader()
+def make_late_entry(context):
+    context.consumer = topic_builders.RecordingConsumer()
     context.follower = topic_follower.TopicFollower(
         "topic",
-        topic_builders.SleepyTopic(1),
-        context.reader,
+        topic_builders.UnnotifiedTopic(1),
+        context.consumer,
         topic_follower.make_short_poll_timing(4000),
         lambda: (),
     )
@@ -166,7 +166,7 @@
             await trio.sleep(2.5)
             context.follower.offer(other, topic_follower.TopicProgress(2, 1.5))
             await trio.sleep(0.1)
-            context.keys = set(context.reader.keys)
+            context.keys = set(context.consumer.keys)
             nursery.cancel_scope.cancel()
 
     topic_builders.run_on_mock_clock(run)
@@ -178,47 +178,47 @@
 
 
 @behave.when(
-    "the log turns the first two readers away by turns for {seconds:d} seconds"
+    "the log rejects the first two readers by turns for {seconds:d} seconds"
 )
-def turn_away_by_turns(context, seconds):
+def reject_by_turns(context, seconds):
     async def action(fleet):
-        ranked = ranking.rank_members(fleet_builders.TOPIC, fleet.readers)
-        context.left_out = set(ranked[:2])
+        ranked = ranking.rank_members(fleet_builders.TOPIC, fleet.consumers)
+        context.excluded = set(ranked[:2])
         for second in range(seconds):
-            fleet.log.turned_away = {ranked[second % 2]}
+            fleet.log.rejected = {ranked[second % 2]}
             fleet.log.write(f"record-{second}")
             await trio.sleep(1.0)
         context.fleet = fleet
 
-    play(context, action)
+    run_fleet(context, action)
 
 
-@behave.when("the log turns all away for {seconds:d} seconds")
-def turn_all_away(context, seconds):
+@behave.when("the log rejects all entries for {seconds:d} seconds")
+def reject_all(context, seconds):
     async def action(fleet):
-        context.left_out = set()
-        fleet.log.turned_away = set(fleet.readers)
+        context.excluded = set()
+        fleet.log.rejected = set(fleet.consumers)
         await trio.sleep(seconds)
-        fleet.log.turned_away = set()
-        await trio.sleep(_READ_ON_S)
+        fleet.log.rejected = set()
+        await trio.sleep(_SETTLE_S)
         context.fleet = fleet
 
-    play(context, action)
+    run_fleet(context, action)
 
 
 def list_outages(context):
     return [
-        reader.outages
-        for address, reader in context.fleet.readers.items()
-        if address not in context.left_out
+        consumer.outages
+        for address, consumer in context.fleet.consumers.items()
+        if address not in context.excluded
     ]
 
 
-@behave.then("no other entry takes the log for having been away")
+@behave.then("no other entry notes an outage of the log")
 def check_no_outage(context):
     assert max(list_outages(context)) == 0, list_outages(context)
 
 
-@behave.then("each entry takes the log for having been away")
+@behave.then("each entry notes an outage of the log")
 def check_outage(context):
     assert min(list_outages(context)) > 0, list_outages(context)
--- a/packages/gentianpoint-entry/features/forwarding/steps/topic_follower_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/topic_follower_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what entries read of the log's topics."""
+"""Steps for entries that follow topics of the log."""
 
 import behave
 from structlog import testing
@@ -7,7 +7,7 @@
 
 from gentianpoint_entry.forwarding import topic_follower
 
-_PACE = topic_follower.make_short_poll_timing(1200)
+_TIMING = topic_follower.make_short_poll_timing(1200)
 _PHASE_S = 5.0
 
 
@@ -15,13 +15,13 @@
 def make_log(context, end):
     context.log = topic_builders.FakeTopic(end)
     context.peers = []
-    context.reader = topic_builders.NotingReader()
+    context.consumer = topic_builders.RecordingConsumer()
 
 
-@behave.given("a log that turns this entry away from the start")
-def make_absent_log(context):
+@behave.given("a log that rejects this entry from the start")
+def make_unavailable_log(context):
     make_log(context, 0)
-    context.log.is_away = True
+    context.log.is_unavailable = True
 
 
 @behave.given("another entry that has the topic up to offset {end:d}")
@@ -33,8 +33,8 @@
     follower = topic_follower.TopicFollower(
         "topic",
         context.log,
-        context.reader,
-        _PACE,
+        context.consumer,
+        _TIMING,
         lambda: context.peers,
     )
 
@@ -49,32 +49,32 @@
     topic_builders.run_on_mock_clock(run)
 
 
-@behave.when("the log turns this entry away")
-def turn_away(context):
+@behave.when("the log starts to reject this entry")
+def reject(context):
     def change():
-        context.log.is_away = True
+        context.log.is_unavailable = True
 
     follow(context, change)
 
 
-@behave.when("this entry reads for a while")
-def read(context):
+@behave.when("this entry follows the topic")
+def follow_topic(context):
     follow(context, lambda: None)
 
 
-@behave.when("the log is away for {away_ms:d} ms")
-def leave(context, away_ms):
+@behave.when("the log is unavailable for {outage_ms:d} ms")
+def interrupt_log(context, outage_ms):
     follower = topic_follower.TopicFollower(
-        "topic", context.log, context.reader, _PACE, lambda: ()
+        "topic", context.log, context.consumer, _TIMING, lambda: ()
     )
 
     async def run():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(_PHASE_S)
-            context.log.is_away = True
-            await trio.sleep(away_ms / 1000)
-            context.log.is_away = False
+            context.log.is_unavailable = True
+            await trio.sleep(outage_ms / 1000)
+            context.log.is_unavailable = False
             await trio.sleep(_PHASE_S)
             nursery.cancel_scope.cancel()
 
@@ -87,7 +87,7 @@
 
 
 @behave.then(
-    "each failed reading has a line with its time and the pause after it"
+    "each failed poll has a line with its duration and the pause after it"
 )
 def check_lines(context):
     lines = find_lines(context, "log_reading_failed")
@@ -100,12 +100,13 @@
 
 
 @behave.then(
-    "the line of the log's return tells how many failed, over {away_ms:d} ms"
+    "the line of the log's return has the number of failures, over"
+    " {outage_ms:d} ms"
 )
-def check_return(context, away_ms):
+def check_return(context, outage_ms):
     (line,) = find_lines(context, "log_available")
     assert line["failures"] == len(find_lines(context, "log_reading_failed"))
-    assert line["silent_ms"] >= away_ms, line
+    assert line["silent_ms"] >= outage_ms, line
 
 
 @behave.when("the log drops its history and the key of offset {offset:d}")
@@ -120,42 +121,45 @@
 
 @behave.then("this entry has the record at offset {offset:d}")
 def check_record(context, offset):
-    assert f"key-{offset}" in context.reader.keys, context.reader.keys
+    assert f"key-{offset}" in context.consumer.keys, context.consumer.keys
 
 
 @behave.then(
-    "the reader is given the whole state without the key of offset {offset:d}"
+    "the consumer is given a snapshot without the key of offset {offset:d}"
 )
-def check_state(context, offset):
-    assert f"key-{offset}" not in context.reader.states[-1]
-    assert len(context.reader.states[-1]) == 4
+def check_snapshot(context, offset):
+    assert f"key-{offset}" not in context.consumer.snapshots[-1]
+    assert len(context.consumer.snapshots[-1]) == 4
 
 
-@behave.given("a log whose waiting readings are not woken by new records")
-def make_sleepy_log(context):
-    context.log = topic_builders.SleepyTopic(1)
-    context.reader = topic_builders.NotingReader()
+@behave.given("a log whose long polls are not woken by new records")
+def make_unnotified_log(context):
+    context.log = topic_builders.UnnotifiedTopic(1)
+    context.consumer = topic_builders.RecordingConsumer()
 
 
-@behave.when("a record is written that is to be here within {within_ms:d} ms")
-def write_waiting(context, within_ms):
+@behave.when(
+    "a record is written that a long-polling reader must have within"
+    " {within_ms:d} ms"
+)
+def write_for_long_poll(context, within_ms):
     write_record(context, topic_follower.make_long_poll_timing(within_ms))
 
 
 @behave.when(
-    "a record is written that a pausing reader is to have within"
+    "a record is written that a short-polling reader must have within"
     " {within_ms:d} ms"
 )
-def write_pausing(context, within_ms):
+def write_for_short_poll(context, within_ms):
     write_record(context, topic_follower.make_short_poll_timing(within_ms))
 
 
-def write_record(context, pace):
+def write_record(context, timing):
     follower = topic_follower.TopicFollower(
         "topic",
         context.log,
-        context.reader,
-        pace,
+        context.consumer,
+        timing,
         lambda: (),
     )
 
@@ -163,12 +167,12 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(_PHASE_S)
-            context.reads_a_second = context.log.reads / _PHASE_S
+            context.reads_per_s = context.log.reads / _PHASE_S
             end = context.log.end
             context.log.records.append(topic_builders.make_record(end))
             context.log.end = end + 1
             written_at = trio.current_time()
-            while f"key-{end}" not in context.reader.keys:
+            while f"key-{end}" not in context.consumer.keys:
                 await trio.sleep(0.01)
             context.took_ms = (trio.current_time() - written_at) * 1000
             nursery.cancel_scope.cancel()
@@ -183,4 +187,4 @@
 
 @behave.then("the log was read at most {count:d} times a second")
 def check_reads(context, count):
-    assert context.reads_a_second <= count, context.reads_a_second
+    assert context.reads_per_s <= count, context.reads_per_s
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/change_log.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/change_log.py
@@ -1,4 +1,4 @@
-"""A map that tells what has changed in it since a reader last looked."""
+"""A map whose readers can ask what changed since they last looked."""
 
 from collections import abc
 import typing
@@ -9,10 +9,11 @@
 
 
 class ChangeLog(typing.Generic[_Value]):
-    """Values by their names, in the order of their last changes.
+    """Values by name, in the order of their last changes.
 
-    A reader keeps the number of changes that it has seen, and its next look
-    costs as much as what has changed since, not as much as the map holds.
+    A reader remembers the number of changes that it has seen. Listing the
+    changes since then takes time proportional to their number, not to the
+    size of the map.
 
     >>> log = ChangeLog[int]()
     >>> log.put("a", 1)
@@ -28,21 +29,21 @@
         self._items: typing.Final[dict[str, tuple[int, _Value]]] = {}
 
     def __len__(self) -> int:
-        """Return how many values there are."""
+        """Return the number of values."""
         return len(self._items)
 
     def put(self, name: str, value: _Value) -> None:
-        """Set a value."""
+        """Set the value of a name."""
         self.changes += 1
         self._items.pop(name, None)
         self._items[name] = (self.changes, value)
 
     def drop(self, name: str) -> None:
-        """Remove a value; readers are not told."""
+        """Remove a name; this is not listed as a change."""
         del self._items[name]
 
     def find(self, name: str) -> typing.Optional[_Value]:
-        """Return a value, None if there is none of that name."""
+        """Return the value of a name, None if there is none."""
         item = self._items.get(name)
         return None if item is None else item[1]
 
@@ -51,7 +52,7 @@
         return [(name, item[1]) for name, item in self._items.items()]
 
     def list_since(self, seen: int) -> abc.Sequence[tuple[str, _Value]]:
-        """Return what changed after the first ``seen`` changes."""
+        """Return what changed after the first ``seen`` changes, last first."""
         found = []
         for name in reversed(self._items):
             change, value = self._items[name]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
@@ -1,10 +1,10 @@
 """Connections between entries.
 
-Entries tell each other who they are, how engines do whose agents only some
-of them are connected to, and what the log's topics have brought. An entry
-knows a few addresses from its settings and learns the others from those that
-it reaches. A small number of connections each is enough: news goes on from
-entry to entry.
+Over them, entries gossip about members, about engines whose agents only some
+entries are connected to, and about their progress in the log's topics, and
+request records of those topics. An entry knows a few seed addresses from its
+settings, and learns the others from the entries that it reaches. A few
+connections for each entry are enough, as gossip is passed on.
 """
 
 from collections import abc
@@ -23,34 +23,38 @@
 
 __all__ = ("MAX_SEND_INTERVAL_S", "EntryPeers", "make_rank_lookup")
 
-_LOOK_S: typing.Final = 0.25
-"""Pause between looks at which connections there should be."""
+_CONNECTION_CHECK_S: typing.Final = 0.25
+"""Seconds between checks of which connections to open and close."""
 MAX_SEND_INTERVAL_S: typing.Final = 0.25
-"""Longest pause after which a connection is sent what it lacks. Reports of
-engines are that much older at each entry on their way."""
+"""Seconds, at most, between messages with what the other end of a connection
+lacks. Each entry that passes a report of an engine on adds up to this to the
+report's age."""
 _FIRST_RETRY_S: typing.Final = 0.4
-_LONGEST_RETRY_S: typing.Final = 3.0
-_UNWANTED_S: typing.Final = 3.0
-"""Time after which a connection is closed that is not wanted any more, such
-as one to a seed."""
-_MEET_AGAIN_S: typing.Final = 4.0
-"""Pause between looks for seeds that are not among the members. Entries that
-fell apart into groups know nothing of each other but these."""
-_MOST_ENGINES_PASSED: typing.Final = 512
-"""Engines of which it is remembered that they were passed on."""
+"""Seconds until another attempt to connect after the first failure; doubles
+with each further one."""
+_MAX_RETRY_S: typing.Final = 3.0
+"""Seconds, at most, until another attempt to connect."""
+_UNWANTED_KEPT_S: typing.Final = 3.0
+"""Seconds for which a connection stays open that is no longer wanted, such as
+one to a seed."""
+_SEED_CONTACT_S: typing.Final = 4.0
+"""Seconds between attempts to reach seeds that are not live members. Groups
+of entries that were separated know of each other only by the seeds."""
+_MAX_RELAYED_ENGINES: typing.Final = 512
+"""Engines that are remembered as passed on."""
 _Message = abc.Mapping[str, typing.Any]
 
 
 class _Failures(typing.NamedTuple):
-    """Attempts in a row that failed to connect to an address."""
+    """Consecutive failures to connect to an address."""
 
     attempts: int
-    until: float
-    """Moment from which it is tried again."""
+    retry_at: float
+    """When to try again, in seconds of trio's clock."""
 
 
 class _Dial:
-    """A connection that this entry opens, or has opened."""
+    """A connection that this entry is opening or has opened."""
 
     def __init__(self) -> None:
         self.scope: typing.Final = trio.CancelScope()
@@ -58,61 +62,62 @@
 
 
 def _ignore_engine(message: _Message) -> None:
-    """Leave an announced engine to the list."""
+    """Let the list of targets bring an announced engine."""
 
 
 class EntryPeers:
-    """The other entries, as far as this one reaches them."""
+    """This entry's connections to other entries."""
 
     def __init__(
         self,
-        news: gossip_state.GossipState,
+        gossip: gossip_state.GossipState,
         seeds: abc.Sequence[str],
-        take_engine: abc.Callable[[_Message], None] = _ignore_engine,
+        handle_engine: abc.Callable[[_Message], None] = _ignore_engine,
     ) -> None:
-        """Exchange ``news``; start from ``seeds``.
+        """Exchange ``gossip``; first connect to the addresses ``seeds``.
 
-        ``take_engine`` is given what agents tell of engines that started.
+        ``handle_engine`` is given the ``engine_here`` message of each engine
+        that has started.
         """
-        self._news: typing.Final = news
-        self._address: typing.Final = news.members.address
-        self._take_engine: typing.Final = take_engine
+        self._gossip: typing.Final = gossip
+        self._address: typing.Final = gossip.members.address
+        self._handle_engine: typing.Final = handle_engine
         self._seeds: set[str] = set(seeds) - {self._address}
         self._dials: typing.Final[dict[str, _Dial]] = {}
         self._failures: typing.Final[dict[str, _Failures]] = {}
         self._links: typing.Final[list[peer_links.PeerLink]] = []
-        self._meets_at = 0.0
-        self._passed_on: typing.Final[dict[str, None]] = {}
+        self._seed_contact_at = 0.0
+        self._relayed: typing.Final[dict[str, None]] = {}
 
     def replace_seeds(self, seeds: abc.Sequence[str]) -> None:
-        """Take new addresses from the settings."""
+        """Use other seed addresses, as after a reload of the settings."""
         self._seeds = set(seeds) - {self._address}
 
     def count_connected(self) -> int:
-        """Return how many other entries there are connections to."""
+        """Return how many other entries this one is connected to."""
         return len(self._find_connected())
 
     def count_entries(self) -> int:
         """Return how many entries there are, this one among them.
 
         An entry that reaches no other may be cut off from entries that are
-        well, so it counts those that it has heard of, and the seeds.
+        running, so members that it has heard of count, and so do seeds.
         """
-        return max(self._news.members.count(), len(self._seeds) + 1)
+        return max(self._gossip.members.count(), len(self._seeds) + 1)
 
     def count_budget_sharers(self) -> int:
-        """Return how many entries share what is allowed to all together.
+        """Return how many entries share the budgets of the whole fleet.
 
-        It is 0 until another entry was heard of, if there should be any:
-        entries that start while they can't reach each other would each take
-        the whole for themselves.
+        If there are seeds, it is 0 until another entry was heard of: entries
+        that start while they can't reach each other would each use the whole
+        budget.
         """
-        if self._seeds and self._news.members.count() == 1:
+        if self._seeds and self._gossip.members.count() == 1:
             return 0
         return self.count_entries()
 
     def list_peer_topics(self, name: str) -> abc.Sequence[ports.KeyedTopic]:
-        """Return a topic as each connected entry holds it."""
+        """Return the copies of a topic at all connected entries."""
         return [
             peer_links.PeerTopic(link, name)
             for link in self._links
@@ -120,7 +125,7 @@
         ]
 
     async def run(self) -> None:
-        """Listen, and connect to others, for ever."""
+        """Accept and open connections until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
                 peer_sockets.serve_connections,
@@ -129,11 +134,11 @@
                 peer_sockets.SELDOM,
             )
             while True:
-                self._news.tick()
-                self._open_and_close(nursery)
-                await trio.sleep(_LOOK_S)
+                self._gossip.tick()
+                self._update_connections(nursery)
+                await trio.sleep(_CONNECTION_CHECK_S)
 
-    def _open_and_close(self, nursery: trio.Nursery) -> None:
+    def _update_connections(self, nursery: trio.Nursery) -> None:
         now = trio.current_time()
         connected = self._find_connected()
         wanted = self._find_wanted(now)
@@ -145,28 +150,28 @@
                 dial.unwanted_since = None
             elif dial.unwanted_since is None:
                 dial.unwanted_since = now
-            elif now - dial.unwanted_since > _UNWANTED_S:
+            elif now - dial.unwanted_since > _UNWANTED_KEPT_S:
                 dial.scope.cancel()
 
     def _find_wanted(self, now: float) -> set[str]:
-        """Return the addresses that this entry connects to."""
+        """Return the addresses to open connections to, or keep them."""
         failed = {
             address
             for address, failures in self._failures.items()
-            if now < failures.until
+            if now < failures.retry_at
         }
-        wanted = set(self._news.members.choose_neighbours(failed))
-        strangers = self._seeds - set(self._news.members.list_live())
-        if strangers and now >= self._meets_at:
-            self._meets_at = now + _MEET_AGAIN_S
-            wanted |= strangers
-        return wanted | (strangers & set(self._dials))
+        wanted = set(self._gossip.members.choose_neighbours(failed))
+        missing_seeds = self._seeds - set(self._gossip.members.list_live())
+        if missing_seeds and now >= self._seed_contact_at:
+            self._seed_contact_at = now + _SEED_CONTACT_S
+            wanted |= missing_seeds
+        return wanted | (missing_seeds & set(self._dials))
 
     def _find_connected(self) -> set[str]:
         return {link.address for link in self._links if link.address}
 
     async def _dial(self, address: str, dial: _Dial) -> None:
-        """Connect once; whether to try again is looked at anew."""
+        """Connect once; another attempt is up to the next check."""
         try:
             with dial.scope:
                 async with peer_sockets.open_connection(
@@ -186,9 +191,9 @@
             count = self._failures[address].attempts
         else:
             peer_connections.log_loss(error)
-        pause_s = min(_LONGEST_RETRY_S, _FIRST_RETRY_S * 2**count)
-        until = trio.current_time() + pause_s
-        self._failures[address] = _Failures(count + 1, until)
+        pause_s = min(_MAX_RETRY_S, _FIRST_RETRY_S * 2**count)
+        retry_at = trio.current_time() + pause_s
+        self._failures[address] = _Failures(count + 1, retry_at)
 
     async def _accept(
         self, connection: peer_connections.PeerConnection
@@ -200,26 +205,28 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.connection.keep_alive, lambda: True)
-                nursery.start_soon(self._send_news, link)
-                while await self._take_next(link):
-                    if self._is_double(link):
+                nursery.start_soon(self._send_gossip, link)
+                while await self._handle_next(link):
+                    if self._is_duplicate(link):
                         break
                 nursery.cancel_scope.cancel()
         finally:
             self._links.remove(link)
 
-    async def _send_news(self, link: peer_links.PeerLink) -> None:
+    async def _send_gossip(self, link: peer_links.PeerLink) -> None:
         while True:
-            message = self._news.collect(link.news)
+            message = self._gossip.build_message(link.gossip)
             if message is not None:
                 await link.connection.send(message)
-            await self._news.wait_urgent(link.news, MAX_SEND_INTERVAL_S)
+            await self._gossip.wait_for_urgent(
+                link.gossip, MAX_SEND_INTERVAL_S
+            )
 
-    def _is_double(self, link: peer_links.PeerLink) -> bool:
-        """Tell whether this entry is to close a second connection.
+    def _is_duplicate(self, link: peer_links.PeerLink) -> bool:
+        """Tell whether this entry has to close a second connection.
 
-        Two entries may connect to each other at the same moment; the one
-        with the higher address closes its own.
+        If two entries connect to each other at the same moment, the one with
+        the higher address closes the connection that it opened.
         """
         if not link.is_dialled or link.address > self._address:
             return False
@@ -228,78 +235,86 @@
             for other in self._links
         )
 
-    async def _take_next(self, link: peer_links.PeerLink) -> bool:
-        """Take the next message; False if it was the last one."""
+    async def _handle_next(self, link: peer_links.PeerLink) -> bool:
+        """Handle the next message; False if it is the last one."""
         message = await link.connection.receive()
         match message["type"]:
             case "gossip":
-                self._take_news(link, message)
+                self._apply_gossip(link, message)
             case "records_wanted":
-                follower = self._news.find_topic(message["topic"])
+                follower = self._gossip.find_topic(message["topic"])
                 await link.connection.send(
-                    peer_links.find_records(message, follower)
+                    peer_links.make_records_answer(message, follower)
                 )
             case "records_found":
-                link.take_answer(message)
+                link.deliver_answer(message)
             case "engine_here":
-                await self._take_announcement(message)
-                # An agent has nothing else to say and takes the end of its
-                # connection as a receipt.
+                await self._handle_announcement(message)
+                # An agent sends nothing else, and takes the closing of its
+                # connection for the acknowledgement.
                 return bool(message["passed_on"])
         return True
 
-    def _take_news(self, link: peer_links.PeerLink, message: _Message) -> None:
+    def _apply_gossip(
+        self, link: peer_links.PeerLink, message: _Message
+    ) -> None:
         if not link.address:
             link.address = message["address"]
             link.connection.peer = link.address
             logs.log_event(events.CONNECTION_OPENED, peer=link.address)
         try:
-            topics = self._news.take(link.news, message)
+            topics = self._gossip.apply_message(link.gossip, message)
         except OverflowError as error:
             raise peer_connections.PeerConnectionError(
                 "decode message", link.address, str(error)
             ) from error
-        for name, news in topics:
-            follower = self._news.find_topic(name)
+        for name, progress in topics:
+            follower = self._gossip.find_topic(name)
             if follower is not None:
-                follower.offer(peer_links.PeerTopic(link, name), news)
+                follower.offer(peer_links.PeerTopic(link, name), progress)
 
-    async def _take_announcement(self, message: _Message) -> None:
-        """Take an engine that started, and pass it on once.
+    async def _handle_announcement(self, message: _Message) -> None:
+        """Handle the announcement of a new engine, and pass it on once.
 
-        Agents know few entries, which may be fewer still by now. Each entry
-        that hears of an engine for the first time tells those that it is
-        connected to.
+        An agent knows only a few entries, and some of those may be gone. So
+        each entry that hears of an engine for the first time tells all
+        entries that it is connected to.
         """
         target = message["target"]
-        if target in self._passed_on:
+        if target in self._relayed:
             return
-        self._passed_on[target] = None
-        if len(self._passed_on) > _MOST_ENGINES_PASSED:
-            del self._passed_on[next(iter(self._passed_on))]
-        self._take_engine(message)
+        self._relayed[target] = None
+        if len(self._relayed) > _MAX_RELAYED_ENGINES:
+            del self._relayed[next(iter(self._relayed))]
+        self._handle_engine(message)
         for link in list(self._links):
             if not link.address:
                 continue
             try:
                 await link.connection.send({**message, "passed_on": True})
             except peer_connections.PeerConnectionError as error:
-                # The list tells that entry, which has lost this one anyway.
+                # That entry has lost the connection, and the list of
+                # targets will bring it the engine.
                 peer_connections.log_loss(error)
 
 
 def make_rank_lookup(
-    news: gossip_state.GossipState, topic: str
+    gossip: gossip_state.GossipState, topic: str
 ) -> abc.Callable[[], int]:
-    """Return what tells how many entries read ``topic`` before this one."""
+    """Return a function that returns this entry's rank for ``topic``.
+
+    The rank is the number of entries whose turn to poll the topic comes
+    before this one's.
+    """
+    # Holds the rank for the current version of the members only.
     ranks: dict[int, int] = {}
 
-    def read() -> int:
-        version = news.members.version
+    def get_rank() -> int:
+        version = gossip.members.version
         if version not in ranks:
-            order = ranking.rank_members(topic, news.members.list_live())
+            order = ranking.rank_members(topic, gossip.members.list_live())
             ranks.clear()
-            ranks[version] = order.index(news.members.address)
+            ranks[version] = order.index(gossip.members.address)
         return ranks[version]
 
-    return read
+    return get_rank
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
@@ -1,10 +1,11 @@
-"""What entries tell each other, and what of it each connection still lacks.
+"""What entries gossip, and what of it each connection still lacks.
 
-News goes from entry to entry until all have it: the members, the reports of
+Entries pass on what they hear until all have it: the members, the reports of
 engines whose agents only some entries are connected to, and how far the log's
-topics have been read. A connection brings each piece at most once in each
-direction: what the other end has sent itself it isn't sent back. So an
-entry's connections, not the number of entries, decide what it spends.
+topics were read. A connection carries each item at most once in each
+direction, and nothing is sent back to the entry that sent it. So what an
+entry spends depends on its number of connections, not on the number of
+entries.
 """
 
 from collections import abc
@@ -23,42 +24,48 @@
 __all__ = ("GossipState", "LinkState")
 
 _REPORT_KEPT_S: typing.Final = 4.0
-"""Age from which a report is dropped: agents send one a second at least."""
-_CONFIRMED_AGAIN_S: typing.Final = 0.15
-"""Least difference by which a later reading of a topic without new records
-is news."""
-_NO_MOMENT_MS: typing.Final = -1
+"""Age in seconds from which a report is dropped; agents send at least one a
+second."""
+_MIN_CONFIRMED_STEP_S: typing.Final = 0.15
+"""Seconds by which a topic without new records must have been confirmed later
+than the other end knows to be sent again."""
+_NEVER_CONFIRMED_MS: typing.Final = -1
+"""Value of ``confirmed_ms_ago`` for a topic that was never confirmed."""
 _Message = abc.Mapping[str, typing.Any]
 
 HandleReport = abc.Callable[[str, targets.EngineReport], None]
-"""Takes the report of the engine whose agent listens at an address."""
+"""Handles a report; is given the address of the engine's agent and the
+report."""
 
 
-def _drop_report(agent: str, report: targets.EngineReport) -> None:
-    """Leave a report to whoever asks for it."""
+def _ignore_report(agent: str, report: targets.EngineReport) -> None:
+    """Only keep the report to pass it on."""
 
 
 class LinkState:
-    """What one connection has brought and been given."""
+    """What the two ends of one connection have sent each other."""
 
     def __init__(self, now: float) -> None:
-        """Start with a connection that has just opened."""
+        """Start with a connection that was opened at ``now``."""
         self.delay: typing.Final = link_delay.LinkDelay(now)
+        # Counts of notifications and changes that were already handled.
         self.urgent_seen = 0
         self.members_seen = 0
         self.reports_seen = 0
+        # What the other end knows: heartbeat counters by member, runs and
+        # report numbers by agent, progress by topic.
         self.beats: typing.Final[dict[str, int]] = {}
         self.reports: typing.Final[dict[str, tuple[int, int]]] = {}
         self.topics: typing.Final[dict[str, topic_follower.TopicProgress]] = {}
 
 
 class GossipState:
-    """All news that this entry has."""
+    """What this entry knows and passes on to others."""
 
     def __init__(self, table: members.MemberTable) -> None:
-        """Exchange news with the members of ``table``."""
+        """Start with the members of ``table`` and no reports or topics."""
         self.members: typing.Final = table
-        self.handle_report: HandleReport = _drop_report
+        self.handle_report: HandleReport = _ignore_report
         self._reports: typing.Final = change_log.ChangeLog[
             targets.EngineReport
         ]()
@@ -69,9 +76,9 @@
         self._urgent_count = 0
 
     def add_topic(self, follower: topic_follower.TopicFollower) -> None:
-        """Tell others how far ``follower`` has its topic."""
+        """Gossip the progress of ``follower``."""
         self._topics[follower.name] = follower
-        follower.note_change = self.hurry
+        follower.notify_progress = self.notify_urgent
 
     def find_topic(
         self, name: str
@@ -80,42 +87,42 @@
         return self._topics.get(name)
 
     def put_report(self, agent: str, report: targets.EngineReport) -> bool:
-        """Take a report of an agent; False if it is known already.
+        """Record a report of an agent; False if it is not newer.
 
-        A first notice to leave is passed on at once: the generations there
-        have two seconds or less to move.
+        The first report that the engine is leaving is passed on at once:
+        the generations there have at most two seconds to move.
         """
         known = self._reports.find(agent)
         if not engine_reports.is_newer(report, known):
             return False
         self._reports.put(agent, report)
         if report.is_leaving and not (known and known.is_leaving):
-            self.hurry()
+            self.notify_urgent()
         return True
 
     def leave(self) -> None:
-        """Tell all that this entry has been told to stop."""
+        """Tell all entries that this one has been told to stop."""
         self.members.leave(trio.current_time())
-        self.hurry()
+        self.notify_urgent()
 
     def tick(self) -> None:
-        """Beat, and drop what is old; to be called often."""
+        """Send heartbeats when due, drop what is old; is called often."""
         now = trio.current_time()
         self.members.tick(now)
         for agent, report in self._reports.list_all():
             if now - report.received_at > _REPORT_KEPT_S:
                 self._reports.drop(agent)
 
-    def hurry(self) -> None:
-        """Have all connections send at once what they lack."""
+    def notify_urgent(self) -> None:
+        """Make every connection send at once what the other end lacks."""
         self._urgent_count += 1
         self._urgent.set()
         self._urgent = trio.Event()
 
-    async def wait_urgent(self, link: LinkState, within_s: float) -> None:
-        """Return after ``within_s``, or when there is urgent news.
+    async def wait_for_urgent(self, link: LinkState, within_s: float) -> None:
+        """Return after ``within_s`` seconds, or on an urgent notification.
 
-        What became urgent while the connection was sent the news before
+        A notification that came while the previous message was being sent
         counts as well.
         """
         if link.urgent_seen == self._urgent_count:
@@ -123,19 +130,19 @@
                 await self._urgent.wait()
         link.urgent_seen = self._urgent_count
 
-    def collect(self, link: LinkState) -> typing.Optional[_Message]:
-        """Return the message with all that a connection lacks, if any."""
+    def build_message(self, link: LinkState) -> typing.Optional[_Message]:
+        """Return a message with all that the other end lacks, if any."""
         now = trio.current_time()
-        strangers, beats, leaving = self._collect_members(link)
+        new_members, beats, leaving = self._collect_members(link)
         reports = self._collect_reports(link, now)
         topics = self._collect_topics(link, now)
-        if not (strangers or beats or reports or topics):
+        if not (new_members or beats or reports or topics):
             return None
         return {
             "type": "gossip",
             "address": self.members.address,
             "clock_ms": round(now * 1000),
-            "members": strangers,
+            "members": new_members,
             "beats": beats,
             "leaving": leaving,
             "engines": reports,
@@ -147,11 +154,12 @@
     ) -> tuple[
         abc.Sequence[_Message], abc.Mapping[str, int], abc.Sequence[str]
     ]:
-        """Return the members that a connection does not know, and beats.
+        """Return members unknown to the other end, counters, and leavers.
 
-        The third part names those of both that are leaving.
+        The counters are those of members that it knows. The leavers are the
+        addresses of the members of both parts that are leaving.
         """
-        strangers = []
+        new_members = []
         beats = {}
         leaving = []
         for member in self.members.list_since(link.members_seen):
@@ -164,14 +172,14 @@
             if known:
                 beats[member.address] = member.beat
             else:
-                strangers.append(_pack_member(member))
+                new_members.append(_pack_member(member))
         link.members_seen = self.members.changes
-        return strangers, beats, leaving
+        return new_members, beats, leaving
 
     def relays_reports(self) -> bool:
-        """Tell whether entries tell each other of engines.
+        """Tell whether entries pass on reports of engines.
 
-        Of a few entries each is connected to all agents.
+        In a small fleet every entry is connected to all agents.
         """
         return len(self.members.list_live()) > members.MAX_FULL_MESH_PEERS
 
@@ -196,25 +204,27 @@
     ) -> abc.Sequence[_Message]:
         rows = []
         for name, follower in self._topics.items():
-            news = follower.describe_news()
-            if news is None or not _is_news(news, link.topics.get(name)):
+            progress = follower.get_progress()
+            if progress is None or not _is_worth_sending(
+                progress, link.topics.get(name)
+            ):
                 continue
-            link.topics[name] = news
+            link.topics[name] = progress
             rows.append(
                 {
                     "name": name,
-                    "end": news.end,
-                    "confirmed_ms_ago": _measure_age_ms(
-                        now, news.confirmed_at
+                    "end": progress.end,
+                    "confirmed_ms_ago": _compute_age_ms(
+                        now, progress.confirmed_at
                     ),
                 }
             )
         return rows
 
-    def take(
+    def apply_message(
         self, link: LinkState, message: _Message
     ) -> abc.Sequence[tuple[str, topic_follower.TopicProgress]]:
-        """Take a message; return what it tells of topics, by their names."""
+        """Apply a message; return the names and progress of its topics."""
         now = trio.current_time()
         delay_s = link.delay.measure_s(message["clock_ms"] / 1000, now)
         sent_at = now - delay_s
@@ -223,36 +233,36 @@
             member = members.Member(
                 **row, is_leaving=row["address"] in leaving
             )
-            self._take_member(link, member, now)
+            self._apply_member(link, member, now)
         for address, beat in message["beats"].items():
             known = self.members.find(address)
             if known is not None:
                 member = known._replace(
                     beat=beat, is_leaving=address in leaving
                 )
-                self._take_member(link, member, now)
+                self._apply_member(link, member, now)
         for row in message["engines"]:
-            self._take_engine(link, row, sent_at)
+            self._apply_report(link, row, sent_at)
         if not link.delay.is_settled(now):
-            # How old this is can't be told yet. Taken as fresh, it would
-            # keep this entry from reading for itself.
+            # The age of the progress is not known yet. If it were taken as
+            # fresh, it would keep this entry from polling the log itself.
             return ()
         return [
-            (row["name"], self._take_topic(link, row, sent_at))
+            (row["name"], self._apply_progress(link, row, sent_at))
             for row in message["topics"]
         ]
 
-    def _take_member(
+    def _apply_member(
         self, link: LinkState, member: members.Member, now: float
     ) -> None:
         known_beat = link.beats.get(member.address, 0)
         link.beats[member.address] = max(member.beat, known_beat)
         known = self.members.find(member.address)
-        is_notice = member.is_leaving and not (known and known.is_leaving)
-        if self.members.merge(member, now) and is_notice:
-            self.hurry()
+        starts_leaving = member.is_leaving and not (known and known.is_leaving)
+        if self.members.merge(member, now) and starts_leaving:
+            self.notify_urgent()
 
-    def _take_engine(
+    def _apply_report(
         self, link: LinkState, row: _Message, sent_at: float
     ) -> None:
         report = engine_reports.unpack_report(row["row"], sent_at)
@@ -266,15 +276,15 @@
             self.handle_report(agent, report)
 
     @staticmethod
-    def _take_topic(
+    def _apply_progress(
         link: LinkState, row: _Message, sent_at: float
     ) -> topic_follower.TopicProgress:
-        news = topic_follower.TopicProgress(
+        progress = topic_follower.TopicProgress(
             row["end"],
-            _find_moment(sent_at, row["confirmed_ms_ago"]),
+            _find_confirmed_at(sent_at, row["confirmed_ms_ago"]),
         )
-        link.topics[row["name"]] = news
-        return news
+        link.topics[row["name"]] = progress
+        return progress
 
 
 def _pack_member(member: members.Member) -> _Message:
@@ -285,20 +295,20 @@
     }
 
 
-def _is_news(
-    news: topic_follower.TopicProgress,
+def _is_worth_sending(
+    progress: topic_follower.TopicProgress,
     known: typing.Optional[topic_follower.TopicProgress],
 ) -> bool:
-    if known is None or news.end > known.end:
+    if known is None or progress.end > known.end:
         return True
-    return news.confirmed_at > known.confirmed_at + _CONFIRMED_AGAIN_S
+    return progress.confirmed_at > known.confirmed_at + _MIN_CONFIRMED_STEP_S
 
 
-def _measure_age_ms(now: float, moment: float) -> int:
-    if moment == deadlines.NEVER:
-        return _NO_MOMENT_MS
-    return max(0, round((now - moment) * 1000))
+def _compute_age_ms(now: float, confirmed_at: float) -> int:
+    if confirmed_at == deadlines.NEVER:
+        return _NEVER_CONFIRMED_MS
+    return max(0, round((now - confirmed_at) * 1000))
 
 
-def _find_moment(sent_at: float, age_ms: int) -> float:
+def _find_confirmed_at(sent_at: float, age_ms: int) -> float:
     return deadlines.NEVER if age_ms < 0 else sent_at - age_ms / 1000
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/link_delay.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/link_delay.py
@@ -1,11 +1,11 @@
-"""How long messages of a connection waited on their way.
-
-Ages are passed on from entry to entry. A message that lay in a socket while
-its reader was frozen would bring old news as fresh, and its reader would pass
-them on as such. The clocks of two hosts differ by an unknown amount, but that
-amount stays: what a message took beyond the fastest one of its connection is
-the time that it waited. Only what all messages took is not seen, which is the
-time on the network.
+"""Estimates how long messages of a connection were delayed.
+
+Gossip carries ages. A message that stayed in a socket buffer while its reader
+was frozen would make old data look fresh, and the reader would pass it on as
+such. The clocks of two hosts differ by an unknown but constant amount. So the
+time that a message took beyond the fastest one of its connection is its
+delay. What can't be seen is the time that every message took, which is the
+latency of the network.
 """
 
 import math
@@ -14,26 +14,28 @@
 __all__ = ("LinkDelay",)
 
 _SETTLED_S: typing.Final = 1.0
-"""Age of a connection from which its fastest message counts as such."""
+"""Seconds after the opening of a connection from which its fastest message
+so far is a sound reference."""
 
 
 class LinkDelay:
-    """Watches the messages of one connection."""
+    """Measures the delays of the messages of one connection."""
 
     def __init__(self, now: float) -> None:
-        """Start as the connection opens at ``now``."""
+        """Start with a connection that was opened at ``now``."""
         self._settled_at: typing.Final = now + _SETTLED_S
-        self._least = math.inf
+        self._min_transit_s = math.inf
 
     def measure_s(self, sent_at: float, received_at: float) -> float:
-        """Return how long a message waited, in seconds.
+        """Return the delay of a message, in seconds.
 
-        Both moments are on the clocks of their own hosts.
+        ``sent_at`` is on the sender's clock, and ``received_at`` on this
+        host's.
         """
-        took = received_at - sent_at
-        self._least = min(self._least, took)
-        return took - self._least
+        transit_s = received_at - sent_at
+        self._min_transit_s = min(self._min_transit_s, transit_s)
+        return transit_s - self._min_transit_s
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether enough messages came to tell a delay by."""
+        """Tell whether the connection is old enough to measure delays."""
         return now >= self._settled_at
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
@@ -1,7 +1,7 @@
-"""One connection to another entry, and the log's topics as that one has them.
+"""A connection to another entry, and that entry's copies of the log's topics.
 
-An entry that the log does not serve, or that left a reading to another one,
-takes records from those that have them.
+An entry reads records from other entries if the log does not answer it, or
+if it left it to another entry to poll the log.
 """
 
 from collections import abc
@@ -15,14 +15,15 @@
 from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import topic_follower
 
-__all__ = ("PeerLink", "PeerTopic", "find_records")
+__all__ = ("PeerLink", "PeerTopic", "make_records_answer")
 
-_MOST_OFFSET: typing.Final = (1 << 63) - 1
+_MAX_OFFSET: typing.Final = (1 << 63) - 1
+"""Highest offset that a peer may give, the largest signed 64-bit number."""
 _Message = abc.Mapping[str, typing.Any]
 
 
 class PeerLink:
-    """A connection to another entry, seen from this one."""
+    """This entry's end of a connection to another entry."""
 
     def __init__(
         self,
@@ -34,22 +35,23 @@
         self.connection: typing.Final = connection
         self.is_dialled: typing.Final = is_dialled
         self.address = ""
-        self.news: typing.Final = gossip_state.LinkState(trio.current_time())
-        self._numbers: typing.Final = itertools.count(1)
-        self._waiting: typing.Final[
+        self.gossip: typing.Final = gossip_state.LinkState(trio.current_time())
+        self._request_numbers: typing.Final = itertools.count(1)
+        self._pending: typing.Final[
             dict[int, trio.MemorySendChannel[_Message]]
         ] = {}
 
-    async def ask_records(
+    async def request_records(
         self, topic: str, start: int, within_ms: float
     ) -> _Message:
-        """Return the records of a topic from ``start`` on.
+        """Return the other entry's answer with the records from ``start`` on.
 
-        Raises :class:`ports.PortError` when they don't come in time.
+        Raises :class:`ports.PortError` if there is none in ``within_ms``
+        milliseconds.
         """
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         send, receive = trio.open_memory_channel[_Message](1)
-        self._waiting[number] = send
+        self._pending[number] = send
         try:
             with trio.fail_after(within_ms / 1000):
                 await self.connection.send(
@@ -70,40 +72,43 @@
                 "ask for records", self.address, repr(error), took_effect=False
             ) from error
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
-    def take_answer(self, message: _Message) -> None:
-        """Give an answer to whoever waits for it."""
-        waiting = self._waiting.pop(message["number"], None)
-        if waiting is not None:
-            waiting.send_nowait(message)
+    def deliver_answer(self, message: _Message) -> None:
+        """Pass an answer to the request that waits for it, if one does."""
+        pending = self._pending.pop(message["number"], None)
+        if pending is not None:
+            pending.send_nowait(message)
 
 
 class PeerTopic(ports.KeyedTopic):
-    """A topic as another entry holds it."""
+    """Another entry's copy of a topic."""
 
     def __init__(self, link: PeerLink, topic: str) -> None:
-        """Ask for ``topic`` over ``link``."""
+        """Request the records of ``topic`` over ``link``."""
         self._link: typing.Final = link
         self._topic: typing.Final = topic
 
     async def read_newest(self, within_ms: float) -> ports.KeyedSlice:
-        """Return the newest record of every key; see the base class."""
-        # From before the first offset on, no entry has all records.
+        """Return the latest record of every key; see the base class."""
+        # A start of 0 makes the other entry send its snapshot.
         return self._decode(
-            await self._link.ask_records(self._topic, 0, within_ms)
+            await self._link.request_records(self._topic, 0, within_ms)
         )
 
     async def read_changes(
         self, start: int, wait_ms: int, within_ms: float
     ) -> ports.KeyedSlice:
-        """Return what the other entry has beyond ``start``."""
-        answer = await self._link.ask_records(self._topic, start, within_ms)
+        """Return the other entry's records from offset ``start`` on."""
+        answer = await self._link.request_records(
+            self._topic, start, within_ms
+        )
         found = self._decode(answer)
         if found.end <= start:
             return ports.KeyedSlice((), start)
         if answer["whole"]:
-            # What was dropped in between shows only in the whole state.
+            # Keys removed since ``start`` show only by their absence from
+            # the snapshot, so the caller has to read that.
             raise ports.RecordsExpiredError(self._topic)
         return found
 
@@ -115,11 +120,11 @@
                 "the peer has not read the topic either",
                 took_effect=False,
             )
-        if answer["end"] > _MOST_OFFSET:
+        if answer["end"] > _MAX_OFFSET:
             raise ports.PortError(
                 "ask for records",
                 self._link.address,
-                "the end is no offset",
+                "the end offset is out of range",
                 took_effect=False,
             )
         records = [
@@ -131,14 +136,14 @@
         return ports.KeyedSlice(records, answer["end"])
 
 
-def find_records(
+def make_records_answer(
     message: _Message,
     follower: typing.Optional[topic_follower.TopicFollower],
 ) -> _Message:
-    """Return the answer to a ``records_wanted`` message.
+    """Return the ``records_found`` answer to a ``records_wanted`` message.
 
-    It has what was written since, where that is still kept, and the newest
-    record of every key where it is not.
+    It has the records from the requested start on if they are still kept,
+    else the latest record of every key.
     """
     end = None if follower is None else follower.next_offset
     records: abc.Iterable[ports.KeyedRecord] = ()
@@ -146,7 +151,7 @@
     if follower is not None and (end or 0) > message["start"]:
         changes = follower.list_changes(message["start"])
         is_whole = not message["start"] or changes is None
-        records = follower.newest.values()
+        records = follower.latest_by_key.values()
         if not is_whole:
             records = changes or ()
     return {
@@ -158,7 +163,7 @@
         "records": [
             {
                 "key": record.key,
-                # Nobody writes a record of no bytes: it stands for a removal.
+                # No record has an empty value, so one marks a removal.
                 "value": record.value or b"",
                 "offset": record.offset,
             }
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/ranking.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/ranking.py
@@ -1,22 +1,22 @@
-"""Rendezvous hashing: who does something for all, without being asked.
+"""Rendezvous hashing: agrees without messages on who does a shared task.
 
-Every entry ranks all entries for a key by a hash of both. All compute the
-same order from the same members, so the first few can do what the key stands
-for while the others leave it to them; no lease or election is needed where a
-second one doing it is harmless. A member that comes or goes changes the order
-of a key only by its own place.
+Every entry ranks all entries for a key by a hash of both. From the same
+members all compute the same order, so the first few can do the task that the
+key stands for, and the others leave it to them. Where it does no harm if one
+more entry does the task, neither a lease nor an election is needed. A member
+that joins or leaves does not change the order of the others.
 """
 
 from collections import abc
 import hashlib
 import typing
 
-__all__ = ("rank_members", "weigh")
+__all__ = ("compute_weight", "rank_members")
 
 _DIGEST_BYTES: typing.Final = 8
 
 
-def weigh(key: str, member: str) -> int:
+def compute_weight(key: str, member: str) -> int:
     """Return the weight of a member for a key; the lowest ranks first."""
     digest = hashlib.blake2b(
         f"{key}|{member}".encode(), digest_size=_DIGEST_BYTES
@@ -30,4 +30,4 @@
     >>> rank_members("topic", ["10.0.0.1:80"])
     ['10.0.0.1:80']
     """
-    return sorted(members, key=lambda member: weigh(key, member))
+    return sorted(members, key=lambda member: compute_weight(key, member))
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/shared_readings.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/shared_readings.py
@@ -1,14 +1,13 @@
-"""Which entry reads a topic of the log next, for all of them.
+"""Decides which entry polls a topic of the log next.
 
-The load it answers: calls to the log are priced and limited, and with a
-reading of its own for each entry they grow with the entries. One reading
-serves all if they pass on what it brought. So each entry puts its next
-reading off for as long as it hears, in time, how far the topic has been read.
-The first by rank reads all the while; the next ones wait a little longer each
-and take over as soon as they hear nothing, whatever the reason is: a reader
-that stopped, that is frozen or cut off, that the log turns away. Nobody needs
-a lease, since a second reading does no harm, and an entry that hears nothing
-reads for itself.
+Calls to the log are priced and limited, and if every entry polled it, they
+would grow with the number of entries. One poll is enough for all if entries
+pass on what it returned. So each entry postpones its next poll for as long as
+it hears, in time, how far the topic was read. The entry of the lowest rank
+polls without waiting. Those of higher ranks wait a little longer each, and
+take over once they hear nothing, whatever the reason: the reader stopped, is
+frozen or cut off, or is rejected by the log. This needs no lease, since a
+second poll does no harm, and an entry that hears nothing polls for itself.
 """
 
 from collections import abc
@@ -16,53 +15,54 @@
 
 from gentianpoint_core import deadlines
 
-__all__ = ("ReadingTurns", "read_alone")
+__all__ = ("PollSchedule", "get_sole_rank")
 
-_STEP_SHARE: typing.Final = 0.03
-"""Share of the time in which a record is to be here by which each further
-rank waits longer; far more than the way of the news between two entries."""
-_LONGEST_SHARE: typing.Final = 0.15
-"""Most that an entry waits longer than the first; of those that reach it, the
-one that is woken first reads."""
+_RANK_STEP_SHARE: typing.Final = 0.03
+"""Part of the maximum lag by which an entry waits longer than the one ranked
+before it. This is far more than gossip takes between two entries."""
+_MAX_RANK_DELAY_SHARE: typing.Final = 0.15
+"""Part of the maximum lag by which an entry waits, at most, longer than the
+first. Of the entries that reach this limit, the one that wakes first polls."""
 
 
-def read_alone() -> int:
-    """Return the rank of an entry that shares its readings with nobody."""
+def get_sole_rank() -> int:
+    """Return the rank of an entry that polls for itself alone."""
     return 0
 
 
-class ReadingTurns:
-    """When this entry is to read a topic itself."""
+class PollSchedule:
+    """When this entry has to poll a topic itself."""
 
     def __init__(
         self,
-        within_s: float,
+        max_lag_s: float,
         cycle_s: float,
-        read_rank: abc.Callable[[], int] = read_alone,
+        get_rank: abc.Callable[[], int] = get_sole_rank,
     ) -> None:
-        """Expect news every ``cycle_s`` of a topic.
+        """Expect to hear of a poll of the topic every ``cycle_s`` seconds.
 
-        A record is to be here ``within_s`` after it was written;
-        ``read_rank`` returns how many entries are to read before this one.
+        A record must be here ``max_lag_s`` seconds after it was written;
+        ``get_rank`` returns the number of entries whose turn comes before
+        this one's.
         """
-        self._step_s: typing.Final = within_s * _STEP_SHARE
-        self._longest_s: typing.Final = within_s * _LONGEST_SHARE
+        self._rank_step_s: typing.Final = max_lag_s * _RANK_STEP_SHARE
+        self._max_delay_s: typing.Final = max_lag_s * _MAX_RANK_DELAY_SHARE
         self._cycle_s: typing.Final = cycle_s
-        self._read_rank: typing.Final = read_rank
+        self._get_rank: typing.Final = get_rank
         self.confirmed_at = deadlines.NEVER
 
-    def is_first(self) -> bool:
-        """Tell whether this entry is the one that reads all the while."""
-        return self._read_rank() == 0
+    def is_primary_reader(self) -> bool:
+        """Tell whether this entry polls without waiting for others."""
+        return self._get_rank() == 0
 
     def confirm(self, at: float) -> None:
-        """Learn that the topic, as it is here, was read at ``at``."""
+        """Note that this entry's copy of the topic was complete at ``at``."""
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def find_due(self) -> deadlines.Deadline:
-        """Return when this entry is to read; the past if it is the first."""
-        rank = self._read_rank()
+    def find_next_poll(self) -> deadlines.Deadline:
+        """Return when this entry has to poll; the past for the first one."""
+        rank = self._get_rank()
         if rank == 0:
             return deadlines.Deadline(deadlines.NEVER)
-        wait_s = min(self._longest_s, rank * self._step_s)
-        return deadlines.Deadline(self.confirmed_at + self._cycle_s + wait_s)
+        delay_s = min(self._max_delay_s, rank * self._rank_step_s)
+        return deadlines.Deadline(self.confirmed_at + self._cycle_s + delay_s)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
@@ -1,9 +1,9 @@
-"""Follows a keyed topic: the newest of each key, then what changes.
+"""Follows a keyed topic: the latest record of each key, then every change.
 
-Calls to the platform's log are priced and its answers may stay away. So one
-task reads the topic when it is this entry's turn, one takes what other
-entries have read, and one asks them for their records while the log does not
-serve this one.
+Calls to the platform's log are priced, and the log may fail to answer them.
+One task therefore polls the log when it is this entry's turn, a second one
+fetches what other entries have read, and a third one asks other entries for
+their records while the log does not answer this entry.
 """
 
 import abc
@@ -23,348 +23,384 @@
 __all__ = (
     "PollTiming",
     "RecordConsumer",
-    "TopicProgress",
     "TopicFollower",
-    "make_short_poll_timing",
+    "TopicProgress",
     "make_long_poll_timing",
+    "make_short_poll_timing",
 )
 
-_PAUSES_S: typing.Final = (0.2, 0.4, 0.8)
-"""Pauses after the first, the second and each further reading that failed;
-refused calls are priced like others."""
-_SHORTEST_PAUSE_S: typing.Final = 0.05
-"""Pause that is left even after a reading that took all of its time."""
-_PEERS_ASKED: typing.Final = 3
-"""Entries that are asked at once. Where the log turns a third of all away,
-one in thirty tries meets only such; the next comes within a second."""
-_PEERS_PAUSE_S: typing.Final = 0.8
-"""Pause between two rounds of asking other entries."""
-_PEER_MS: typing.Final = 800.0
-"""Time that another entry has for its records."""
-_WAIT_SHARE: typing.Final = 0.3
-"""Share of the time in which a record is to be here that the log may hold a
-reading. A record that wakes no reading is brought by the next one, and if its
-reader stops meanwhile, others must notice and read within the same time."""
-_CALL_SHARE: typing.Final = 0.75
-"""Share of it in which a call has its answer or is given up. Beyond the wait
-that is far more than an answer of a slow log takes."""
-_RETRY_SHARE: typing.Final = 0.8
-"""Share of it from a reading that fails to the next one; what is left is for
-the connection and the answer of that one."""
-_PAUSE_SHARE: typing.Final = 0.45
-"""Share of it that a pause between two readings takes."""
-_LOOK_S: typing.Final = 0.5
-"""Longest pause between looks at whether it is this entry's turn to read; the
-entries before it may be gone."""
-_MOST_OFFERS: typing.Final = 8
-"""Offers of other entries that may wait to be taken."""
-_WAITING_PAUSE_S: typing.Final = 0.05
-"""Pause after a reading that waited, in which records that are written in
-quick succession gather."""
+_RETRY_PAUSES_S: typing.Final = (0.2, 0.4, 0.8)
+"""Seconds to pause after the first, the second and every further failed poll
+in a row. They grow because rejected calls are priced like others."""
+_MIN_RETRY_PAUSE_S: typing.Final = 0.05
+"""Seconds to pause at least after a failed poll, even if it used up the whole
+retry interval."""
+_PEERS_PER_ROUND: typing.Final = 3
+"""Other entries that are asked for records at the same time. If the log
+rejects a third of all entries, about one round in thirty reaches only
+rejected ones; the next round follows within a second."""
+_PEER_ROUND_PAUSE_S: typing.Final = 0.8
+"""Seconds between two rounds of asking other entries."""
+_PEER_TIMEOUT_MS: typing.Final = 800.0
+"""Milliseconds that another entry has to answer with its records."""
+_LONG_POLL_SHARE: typing.Final = 0.3
+"""Part of the maximum lag for which the log may hold a long poll. A record
+that does not wake the pending poll arrives with the next one, and if the
+entry that polls stops in between, others must notice that and poll within
+the same lag."""
+_CALL_TIMEOUT_SHARE: typing.Final = 0.75
+"""Part of the maximum lag after which a call to the log times out. Even after
+a long poll was held, this leaves far more time than a slow log needs to
+answer."""
+_RETRY_INTERVAL_SHARE: typing.Final = 0.8
+"""Part of the maximum lag between the start of a failed poll and the start of
+the next one. The rest is for connecting and for the answer of the latter."""
+_SHORT_POLL_PAUSE_SHARE: typing.Final = 0.45
+"""Part of the maximum lag to pause between two short polls."""
+_TURN_CHECK_S: typing.Final = 0.5
+"""Seconds, at most, between checks of whether it is this entry's turn to
+poll. The turn comes earlier if entries ranked before this one are gone."""
+_MAX_PENDING_OFFERS: typing.Final = 8
+"""Offers of other entries that may be queued."""
+_LONG_POLL_PAUSE_S: typing.Final = 0.05
+"""Seconds to pause after a long poll, so that records written in quick
+succession are read together."""
 
 
 class PollTiming(typing.NamedTuple):
-    """How often a topic is read, and for how long one reading is waited for.
+    """How often the log is polled for a topic, and how long a poll may take.
 
-    All follows from one figure, the time in which a record is to be here
-    after its writing, or after the end of what kept the log from answering.
+    All values follow from one: the maximum lag between the writing of a
+    record, or the end of an outage of the log, and the record's arrival here.
     """
 
     wait_ms: int
-    """Time for which the log may hold a reading until there is a record."""
+    """Milliseconds for which the log may hold a poll until there is a record;
+    0 for short polls."""
     pause_s: float
-    """Pause between readings, in seconds."""
-    call_ms: float
-    """Time after which a call to the log is given up."""
-    retry_ms: float
-    """Longest time between the beginnings of a reading that fails and of the
-    next one."""
-    within_ms: float
-    """Time in which a record is to be here."""
-
-    def measure_cycle_s(self) -> float:
-        """Return the time from the end of one reading to that of the next."""
+    """Seconds between the end of a poll and the start of the next one."""
+    call_timeout_ms: float
+    """Milliseconds after which a call to the log is given up."""
+    retry_interval_ms: float
+    """Milliseconds, at most, between the start of a failed poll and the start
+    of the next one."""
+    max_lag_ms: float
+    """Milliseconds within which a record must be here."""
+
+    def compute_cycle_s(self) -> float:
+        """Return the seconds from the end of one poll to that of the next."""
         return self.pause_s + self.wait_ms / 1000
 
 
-def make_long_poll_timing(within_ms: float) -> PollTiming:
-    """Return the pace for a topic whose records come seldom.
+def make_long_poll_timing(max_lag_ms: float) -> PollTiming:
+    """Return the timing for a topic that rarely changes.
 
-    The log holds each reading until there is a record. A reading that
-    reaches it while a record is being appended may not be woken by that
-    record, so each is short enough for the next one to bring the record
-    within ``within_ms`` of its writing.
+    The log holds each poll until there is a record. A record that is being
+    appended when a poll reaches the log may not wake that poll, so each poll
+    is short enough for the next one to bring the record within
+    ``max_lag_ms`` of its writing.
 
     >>> make_long_poll_timing(2000).wait_ms
     600
     """
-    return _make_pace(
-        within_ms, int(within_ms * _WAIT_SHARE), _WAITING_PAUSE_S
+    return _make_timing(
+        max_lag_ms, int(max_lag_ms * _LONG_POLL_SHARE), _LONG_POLL_PAUSE_S
     )
 
 
-def make_short_poll_timing(within_ms: float) -> PollTiming:
-    """Return the pace for a topic that always has something new.
+def make_short_poll_timing(max_lag_ms: float) -> PollTiming:
+    """Return the timing for a topic that changes all the time.
 
-    The log would answer a waiting reading at once, again and again. A pause
-    gathers the records, and leaves as much time again for the answer.
+    The log would answer every long poll at once. Pausing between polls
+    instead reads several records with one call, and leaves as much time again
+    for the answer.
 
     >>> make_short_poll_timing(2000).pause_s
     0.9
     """
-    return _make_pace(within_ms, 0, within_ms * _PAUSE_SHARE / 1000)
+    return _make_timing(
+        max_lag_ms, 0, max_lag_ms * _SHORT_POLL_PAUSE_SHARE / 1000
+    )
 
 
-def _make_pace(within_ms: float, wait_ms: int, pause_s: float) -> PollTiming:
+def _make_timing(
+    max_lag_ms: float, wait_ms: int, pause_s: float
+) -> PollTiming:
     return PollTiming(
         wait_ms,
         pause_s,
-        within_ms * _CALL_SHARE,
-        within_ms * _RETRY_SHARE,
-        within_ms,
+        max_lag_ms * _CALL_TIMEOUT_SHARE,
+        max_lag_ms * _RETRY_INTERVAL_SHARE,
+        max_lag_ms,
     )
 
 
 class TopicProgress(typing.NamedTuple):
-    """How far an entry has a topic."""
+    """How far an entry has read a topic."""
 
     end: int
-    """Offset after its last record."""
+    """Offset after the last record it has."""
     confirmed_at: float
-    """Moment at which the log had no more, on trio's clock in seconds."""
+    """When the log last had no further record, in seconds of trio's clock."""
 
 
 class _Offer(typing.NamedTuple):
+    """Progress of another entry, and access to its copy of the topic."""
+
     topic: ports.KeyedTopic
-    news: TopicProgress
+    progress: TopicProgress
 
 
 class RecordConsumer(abc.ABC):
-    """Takes the records of a topic."""
+    """Applies the records of a topic."""
 
     @abc.abstractmethod
     def apply_snapshot(
         self, records: collections_abc.Sequence[ports.KeyedRecord]
     ) -> None:
-        """Take the newest record of every key; others have been dropped."""
+        """Apply the latest record of every key; other keys were removed."""
 
     @abc.abstractmethod
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
 
     @abc.abstractmethod
     def note_log_availability(self, *, is_available: bool) -> None:
-        """Learn whether the log serves this process now."""
+        """Take note of whether the log answers this process."""
 
 
-def _do_nothing() -> None:
-    """Leave a change to whoever reads the topic."""
+def _ignore_progress() -> None:
+    """Tell no other entry of progress."""
 
 
 class TopicFollower:
-    """Reads one topic for ever."""
+    """Keeps this entry's copy of one topic up to date."""
 
     def __init__(
         self,
         name: str,
         topic: ports.KeyedTopic,
-        reader: RecordConsumer,
-        pace: PollTiming,
-        list_peers: collections_abc.Callable[
+        consumer: RecordConsumer,
+        timing: PollTiming,
+        list_peer_topics: collections_abc.Callable[
             [], collections_abc.Sequence[ports.KeyedTopic]
         ],
-        read_rank: collections_abc.Callable[
+        get_rank: collections_abc.Callable[
             [], int
-        ] = shared_readings.read_alone,
+        ] = shared_readings.get_sole_rank,
     ) -> None:
-        """Give the records of ``topic`` to ``reader``.
+        """Pass the records of ``topic`` to ``consumer``.
 
-        ``list_peers`` returns the same topic as other entries hold it, and
-        ``read_rank`` how many of them are to read it before this one.
+        ``list_peer_topics`` returns the copies of the topic that other
+        entries hold, and ``get_rank`` the number of entries whose turn to
+        poll comes before this one's.
         """
         self.name: typing.Final = name
         self._topic: typing.Final = topic
-        self._reader: typing.Final = reader
-        self._pace: typing.Final = pace
-        self._list_peers: typing.Final = list_peers
+        self._consumer: typing.Final = consumer
+        self._timing: typing.Final = timing
+        self._list_peer_topics: typing.Final = list_peer_topics
         self.next_offset: typing.Optional[int] = None
-        self.newest: typing.Final[dict[str, ports.KeyedRecord]] = {}
+        self.latest_by_key: typing.Final[dict[str, ports.KeyedRecord]] = {}
         self._is_available = True
-        self._lost = trio.Event()
+        self._unavailable = trio.Event()
         self._failures = 0
-        self._answered_at = deadlines.NEVER
-        self._source: typing.Final = random.Random()
-        self.note_change: collections_abc.Callable[[], None] = _do_nothing
+        self._succeeded_at = deadlines.NEVER
+        self._random: typing.Final = random.Random()
+        self.notify_progress: collections_abc.Callable[[], None] = (
+            _ignore_progress
+        )
         self._recent: typing.Final = recent_records.RecentRecords()
-        self._turns: typing.Final = shared_readings.ReadingTurns(
-            pace.within_ms / 1000, pace.measure_cycle_s(), read_rank
+        self._schedule: typing.Final = shared_readings.PollSchedule(
+            timing.max_lag_ms / 1000, timing.compute_cycle_s(), get_rank
         )
-        send, receive = trio.open_memory_channel[_Offer](_MOST_OFFERS)
-        self._offers: typing.Final = send
-        self._to_take: typing.Final = receive
+        send, receive = trio.open_memory_channel[_Offer](_MAX_PENDING_OFFERS)
+        self._offer_sender: typing.Final = send
+        self._offer_receiver: typing.Final = receive
 
     async def run(self) -> None:
         """Follow the topic until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_log)
-            nursery.start_soon(self._follow_peers)
-            nursery.start_soon(self._take_offers)
+            nursery.start_soon(self._poll_log)
+            nursery.start_soon(self._poll_peers)
+            nursery.start_soon(self._fetch_offers)
 
-    def describe_news(self) -> typing.Optional[TopicProgress]:
-        """Return how far the topic is here, None if not at all."""
+    def get_progress(self) -> typing.Optional[TopicProgress]:
+        """Return how far the topic was read, None if it was not read yet."""
         if self.next_offset is None:
             return None
-        return TopicProgress(self.next_offset, self._turns.confirmed_at)
+        return TopicProgress(self.next_offset, self._schedule.confirmed_at)
 
-    def is_first(self) -> bool:
-        """Tell whether this entry reads the topic all the while."""
-        return self._turns.is_first()
+    def is_primary_reader(self) -> bool:
+        """Tell whether this entry polls the log without waiting for others."""
+        return self._schedule.is_primary_reader()
 
     def list_changes(
         self, start: int
     ) -> typing.Optional[collections_abc.Sequence[ports.KeyedRecord]]:
-        """Return the records from ``start`` on, None if some are gone."""
+        """Return the records from ``start`` on, None if some were evicted."""
         return self._recent.list_from(start)
 
-    def offer(self, topic: ports.KeyedTopic, news: TopicProgress) -> None:
-        """Learn how far another entry has the topic, as ``topic`` gives it.
+    def offer(self, topic: ports.KeyedTopic, progress: TopicProgress) -> None:
+        """Note another entry's progress, and fetch its records if needed.
 
-        Without news there is nothing to do; offers beyond those that wait
-        are dropped, since the same entry makes another one soon.
+        ``topic`` is that entry's copy. Nothing is fetched if all its records
+        are here. An offer that finds the queue full is dropped, since the
+        same entry soon makes another one.
         """
-        if self._has(news):
-            self._take_news(news)
+        if self._has_reached(progress):
+            self._adopt_progress(progress)
             return
         try:
-            self._offers.send_nowait(_Offer(topic, news))
+            self._offer_sender.send_nowait(_Offer(topic, progress))
         except trio.WouldBlock:
             return
 
-    async def _take_offers(self) -> None:
-        """Fetch what other entries have read, for ever."""
-        async for offer in self._to_take:
-            if self._has(offer.news):
+    async def _fetch_offers(self) -> None:
+        """Fetch offered records from other entries until cancelled."""
+        async for offer in self._offer_receiver:
+            if self._has_reached(offer.progress):
                 continue
-            self._note_gap(offer.news)
+            self._report_outage_after_gap(offer.progress)
             if await self._read_from_peer(offer.topic):
-                self._take_news(offer.news)
+                self._adopt_progress(offer.progress)
 
-    def _has(self, news: TopicProgress) -> bool:
-        """Tell whether all records that another entry has are here.
+    def _has_reached(self, progress: TopicProgress) -> bool:
+        """Tell whether every record of another entry is here.
 
-        Its reading may be older than this entry's last one and have a record
-        all the same: a reading that the log holds may miss one.
+        Only offsets count. A poll that confirmed the topic at an earlier time
+        than this entry's last poll may still have brought a record that the
+        latter missed, since a record may not wake a long poll.
         """
-        return self.next_offset is not None and news.end <= self.next_offset
+        return (
+            self.next_offset is not None and progress.end <= self.next_offset
+        )
 
-    def _take_news(self, news: TopicProgress) -> None:
+    def _adopt_progress(self, progress: TopicProgress) -> None:
+        """Count another entry's poll as one of this entry's own."""
         if (
-            not self._has(news)
-            or news.confirmed_at <= self._turns.confirmed_at
+            not self._has_reached(progress)
+            or progress.confirmed_at <= self._schedule.confirmed_at
         ):
             return
-        self._confirm(news.confirmed_at)
+        self._confirm(progress.confirmed_at)
         if (
-            trio.current_time() - news.confirmed_at
-            < self._pace.retry_ms / 1000
+            trio.current_time() - progress.confirmed_at
+            < self._timing.retry_interval_ms / 1000
         ):
-            self._note_success()
+            self._record_success()
 
-    def _note_gap(self, news: TopicProgress) -> None:
-        """Take the log for having been away if nobody read it for long.
+    def _report_outage_after_gap(self, progress: TopicProgress) -> None:
+        """Report an outage of the log if no entry had read it for long.
 
-        What lapsed meanwhile is no removal yet. An entry that was turned away
-        by itself tells nothing of the log: others went on reading.
+        A key that lapsed during an outage does not count as removed yet. That
+        the log rejected this entry alone is no outage: others kept reading.
         """
-        gap_s = news.confirmed_at - self._turns.confirmed_at
-        has_begun = self._turns.confirmed_at > deadlines.NEVER
-        if has_begun and gap_s > self._pace.retry_ms / 1000:
-            self._reader.note_log_availability(is_available=False)
+        gap_s = progress.confirmed_at - self._schedule.confirmed_at
+        was_confirmed = self._schedule.confirmed_at > deadlines.NEVER
+        if was_confirmed and gap_s > self._timing.retry_interval_ms / 1000:
+            self._consumer.note_log_availability(is_available=False)
 
     def _confirm(self, at: float) -> None:
-        """Note that the topic is here as it was read at ``at``.
+        """Note that this copy of the topic was complete at ``at``.
 
-        Others are told at once: those that hear it late read for themselves.
+        Other entries are notified at once, since an entry that learns of it
+        late polls the log itself.
         """
-        self._turns.confirm(at)
-        self.note_change()
+        self._schedule.confirm(at)
+        self.notify_progress()
 
-    async def _wait_turn(self) -> None:
-        """Return once this entry is to read the topic itself."""
+    async def _wait_for_turn(self) -> None:
+        """Return once this entry has to poll the log itself."""
         while True:
-            left_s = self._turns.find_due().at - trio.current_time()
+            left_s = self._schedule.find_next_poll().at - trio.current_time()
             if left_s <= 0:
                 return
-            await trio.sleep(min(left_s, _LOOK_S))
+            await trio.sleep(min(left_s, _TURN_CHECK_S))
 
-    async def _follow_log(self) -> None:
+    async def _poll_log(self) -> None:
+        """Poll the log, whenever it is this entry's turn, until cancelled."""
         while True:
-            await self._wait_turn()
-            began_at = trio.current_time()
+            await self._wait_for_turn()
+            started_at = trio.current_time()
             wait_ms = self._choose_wait_ms()
             try:
-                await self._read_from(self._topic, wait_ms, self._pace.call_ms)
+                await self._read_from(
+                    self._topic, wait_ms, self._timing.call_timeout_ms
+                )
             except ports.PortError as error:
                 self._failures += 1
-                pause_s = self._choose_pause_s(began_at)
-                self._note_failure(error, began_at, pause_s)
+                pause_s = self._choose_retry_pause_s(started_at)
+                self._record_failure(error, started_at, pause_s)
                 await trio.sleep(pause_s)
                 continue
-            self._confirm(min(trio.current_time(), began_at + wait_ms / 1000))
-            self._note_success()
-            await trio.sleep(self._pace.pause_s)
+            self._confirm(
+                min(trio.current_time(), started_at + wait_ms / 1000)
+            )
+            self._record_success()
+            await trio.sleep(self._timing.pause_s)
 
-    async def _follow_peers(self) -> None:
-        """Ask other entries as long as the log does not serve this one.
+    async def _poll_peers(self) -> None:
+        """Ask other entries for records while the log is unavailable.
 
-        This goes on beside the readings of the log, since entries that are
-        silent too would else put off the one that finds the log back.
+        This runs beside the polls of the log. If it delayed them, peers that
+        do not answer either would keep this entry from noticing that the log
+        is back.
         """
         while True:
-            await self._lost.wait()
+            await self._unavailable.wait()
             await self._read_from_peers()
-            await trio.sleep(_PEERS_PAUSE_S)
+            await trio.sleep(_PEER_ROUND_PAUSE_S)
 
     def _choose_wait_ms(self) -> int:
-        """Return how long the log may hold the next reading.
+        """Return how long the log may hold the next poll, in milliseconds.
 
-        While it is away, not at all: what it has is to be here as soon as it
-        answers, and one that is slow has all of the call's time for that.
-        An entry that reads since it heard nothing is late already.
+        It must not hold the poll while it counts as unavailable: its records
+        must be here as soon as it answers, and a slow log needs the whole
+        call timeout for its answer. The same applies to an entry that polls
+        because it heard nothing from others, as it is already late.
         """
-        if not self._is_available or not self._turns.is_first():
+        if not self._is_available or not self._schedule.is_primary_reader():
             return 0
-        return self._pace.wait_ms
+        return self._timing.wait_ms
 
-    def _choose_pause_s(self, began_at: float) -> float:
-        """Return the pause after a failed reading.
+    def _choose_retry_pause_s(self, started_at: float) -> float:
+        """Return the seconds to pause after a failed poll.
 
-        A call that the log never answers is found out only when its time is
-        over, and the log may be back since it was sent. Its time and the
-        pause together must leave the next reading enough to be in time;
-        callers would be refused by an old version for as long as both take.
+        A call that the log never answers only fails at its timeout, and the
+        log may have recovered since it was sent. The timeout and the pause
+        together must leave the next poll time to meet the maximum lag:
+        until it succeeds, an outdated configuration may refuse callers.
         """
-        pause_s = _PAUSES_S[min(self._failures, len(_PAUSES_S)) - 1]
-        left_s = began_at + self._pace.retry_ms / 1000 - trio.current_time()
-        return max(_SHORTEST_PAUSE_S, min(pause_s, left_s))
+        pause_s = _RETRY_PAUSES_S[
+            min(self._failures, len(_RETRY_PAUSES_S)) - 1
+        ]
+        left_s = (
+            started_at
+            + self._timing.retry_interval_ms / 1000
+            - trio.current_time()
+        )
+        return max(_MIN_RETRY_PAUSE_S, min(pause_s, left_s))
 
     async def _read_from_peers(self) -> None:
-        """Take what other entries have, if the log does not serve us.
+        """Ask some randomly chosen entries for their records.
 
-        Several are asked, since the log turns away some of them as well, and
-        those have nothing new; together, since one that is gone takes long
-        to show it.
+        Several are asked, since the log may reject some of them as well, and
+        those have nothing new. They are asked concurrently, since an entry
+        that is gone only shows it by a timeout.
         """
-        peers = list(self._list_peers())
-        asked = self._source.sample(peers, min(_PEERS_ASKED, len(peers)))
+        peer_topics = list(self._list_peer_topics())
+        asked = self._random.sample(
+            peer_topics, min(_PEERS_PER_ROUND, len(peer_topics))
+        )
         async with trio.open_nursery() as nursery:
-            for peer in asked:
-                nursery.start_soon(self._read_from_peer, peer)
+            for peer_topic in asked:
+                nursery.start_soon(self._read_from_peer, peer_topic)
 
-    async def _read_from_peer(self, peer: ports.KeyedTopic) -> bool:
-        """Take what another entry has; False if it could not be had."""
+    async def _read_from_peer(self, peer_topic: ports.KeyedTopic) -> bool:
+        """Read from another entry's copy; False if that failed."""
         try:
-            await self._read_from(peer, 0, _PEER_MS)
+            await self._read_from(peer_topic, 0, _PEER_TIMEOUT_MS)
             return True
         except ports.PortError as error:
             logs.log_event(
@@ -377,48 +413,49 @@
             return False
 
     async def _read_from(
-        self, topic: ports.KeyedTopic, wait_ms: int, within_ms: float
+        self, topic: ports.KeyedTopic, wait_ms: int, timeout_ms: float
     ) -> None:
+        """Apply the new records of ``topic``, or its snapshot."""
         if self.next_offset is None:
-            await self._read_newest(topic, within_ms)
+            await self._read_snapshot(topic, timeout_ms)
             return
         try:
             found = await topic.read_changes(
-                self.next_offset, wait_ms, within_ms
+                self.next_offset, wait_ms, timeout_ms
             )
         except ports.RecordsExpiredError:
-            await self._read_newest(topic, within_ms)
+            await self._read_snapshot(topic, timeout_ms)
             return
         for record in found.records:
             if record.offset >= self.next_offset:
-                self._keep(record)
+                self._store(record)
                 self._recent.append(record)
-                self._reader.apply_change(record)
+                self._consumer.apply_change(record)
         self.next_offset = max(self.next_offset, found.end)
 
-    async def _read_newest(
-        self, topic: ports.KeyedTopic, within_ms: float
+    async def _read_snapshot(
+        self, topic: ports.KeyedTopic, timeout_ms: float
     ) -> None:
-        found = await topic.read_newest(within_ms)
+        found = await topic.read_newest(timeout_ms)
         if self.next_offset is not None and found.end < self.next_offset:
-            # An older state than the one held here: taking it would undo
+            # The snapshot is older than this copy: applying it would undo
             # changes that are in force.
             return
-        self.newest.clear()
+        self.latest_by_key.clear()
         for record in found.records:
-            self._keep(record)
+            self._store(record)
         self._recent.restart(found.end)
-        self._reader.apply_snapshot(list(self.newest.values()))
+        self._consumer.apply_snapshot(list(self.latest_by_key.values()))
         self.next_offset = found.end
 
-    def _keep(self, record: ports.KeyedRecord) -> None:
+    def _store(self, record: ports.KeyedRecord) -> None:
         if record.value is None:
-            self.newest.pop(record.key, None)
+            self.latest_by_key.pop(record.key, None)
         else:
-            self.newest[record.key] = record
+            self.latest_by_key[record.key] = record
 
-    def _note_failure(
-        self, error: ports.PortError, began_at: float, pause_s: float
+    def _record_failure(
+        self, error: ports.PortError, started_at: float, pause_s: float
     ) -> None:
         if self._is_available:
             logs.log_event(
@@ -429,32 +466,32 @@
                 reason=error.reason,
                 next_offset=self.next_offset,
             )
-        # Without a line for each reading nothing tells whether the log was
-        # silent or this process still waited for a reading of before.
+        # One line per failed poll shows whether the log did not answer it or
+        # this process was still waiting for an earlier one.
         logs.log_event(
             events.LOG_READING_FAILED,
             topic=self.name,
             step=error.step,
             reason=error.reason,
-            took_ms=deadlines.measure_ms_since(began_at),
+            took_ms=deadlines.measure_ms_since(started_at),
             failures=self._failures,
             next_in_ms=round(pause_s * 1000),
         )
         self._is_available = False
-        self._lost.set()
-        self._reader.note_log_availability(is_available=False)
+        self._unavailable.set()
+        self._consumer.note_log_availability(is_available=False)
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if not self._is_available:
             logs.log_event(
                 events.LOG_AVAILABLE,
                 topic=self.name,
                 next_offset=self.next_offset,
                 failures=self._failures,
-                silent_ms=deadlines.measure_ms_since(self._answered_at),
+                silent_ms=deadlines.measure_ms_since(self._succeeded_at),
             )
-            self._lost = trio.Event()
+            self._unavailable = trio.Event()
         self._is_available = True
         self._failures = 0
-        self._answered_at = trio.current_time()
-        self._reader.note_log_availability(is_available=True)
+        self._succeeded_at = trio.current_time()
+        self._consumer.note_log_availability(is_available=True)
