--- a/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/fleet_news_steps.py
@@ -190,14 +190,18 @@
 def check_rejected(context, number):
     run_fleet(context)
     others = list(get_entries(context))[1:]
-    assert {entry.reports[AGENT].number for entry in others} == {number + 1}
+    assert {entry.reports[AGENT].sequence_number for entry in others} == {
+        number + 1
+    }
 
 
 @behave.then("all entries accept report {number:d}")
 def check_accepted(context, number):
     run_fleet(context)
     others = list(get_entries(context))[1:]
-    assert {entry.reports[AGENT].number for entry in others} == {number}
+    assert {entry.reports[AGENT].sequence_number for entry in others} == {
+        number
+    }
 
 
 @behave.when("an entry stops and {seconds:d} seconds pass")
--- a/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/peer_messages_steps.py
@@ -14,13 +14,13 @@
 from gentianpoint_core import peer_connections
 from gentianpoint_core import peer_sockets
 from gentianpoint_core.generated import messages
-from gentianpoint_entry.forwarding import agent_feeds
-from gentianpoint_entry.forwarding import choice
+from gentianpoint_entry.forwarding import agent_connections
 from gentianpoint_entry.forwarding import entry_peers
 from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import peer_links
 from gentianpoint_entry.forwarding import routes
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 from gentianpoint_entry.forwarding import topic_follower
 
@@ -129,16 +129,18 @@
     check_all(FROM_ENTRIES, send_to_peers)
 
 
-async def send_to_feeds(sent):
-    board = targets.TargetBoard()
-    target = board.put_entry(
-        forwarding_builders.make_entry("a", born_ms=0), trio.current_time()
+async def send_to_agent_connections(sent):
+    registry = targets.TargetRegistry()
+    target = registry.put_entry(
+        forwarding_builders.make_entry("a", started_ms=0), trio.current_time()
     )
     gossip = gossip_state.GossipState(members.MemberTable(ADDRESS, "north"))
-    feeds = agent_feeds.AgentFeeds(board, lambda _: AGENT, gossip)
+    connections = agent_connections.AgentConnections(
+        registry, lambda _: AGENT, gossip
+    )
     connection = peer_builders.ScriptedConnection(sent)
     try:
-        await feeds._take_reports(target, AGENT, connection)
+        await connections._read_messages(target, AGENT, connection)
     except* peer_connections.PeerConnectionError:
         pass
     route = forwarding_builders.make_route(routes.RouteKind.STREAM)
@@ -146,13 +148,13 @@
         route, forwarding_builders.ENGINE
     )
     shared = forwarding_builders.make_forwarder("b", None)
-    choice.choose_target(
-        [target, shared.board.find("b")],
+    target_selection.choose_target(
+        [target, shared.registry.find("b")],
         request,
         forwarding_builders.DATA_CENTRE,
         1,
         trio.current_time(),
-        shared.source,
+        shared.rng,
     )
     if target.leaves_at is not None:
         assert target.leaves_at.remaining_ms() >= 0
@@ -168,8 +170,8 @@
     "whatever an agent sends, only the connection ends, and a target can be"
     " chosen"
 )
-def check_feeds(context):
-    check_all(FROM_AGENTS, send_to_feeds)
+def check_agent_connections(context):
+    check_all(FROM_AGENTS, send_to_agent_connections)
 
 
 @behave.given("an entry that asks another one for records")
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
@@ -110,7 +110,7 @@
         now = trio.current_time()
         self.members.tick(now)
         for agent, report in self._reports.list_all():
-            if now - report.received_at > _REPORT_KEPT_S:
+            if now - report.sampled_at > _REPORT_KEPT_S:
                 self._reports.drop(agent)
 
     def notify_urgent(self) -> None:
@@ -192,7 +192,7 @@
         changed = self._reports.list_since(link.reports_seen)
         link.reports_seen = self._reports.changes
         for agent, report in changed:
-            version = (report.agent_run, report.number)
+            version = (report.agent_run, report.sequence_number)
             if link.reports.get(agent) != version:
                 link.reports[agent] = version
                 row = engine_reports.pack_report(report, now)
@@ -269,8 +269,8 @@
         if report is None:
             return
         agent = row["agent"]
-        link.reports[agent] = (report.agent_run, report.number)
-        if trio.current_time() - report.received_at > _REPORT_KEPT_S:
+        link.reports[agent] = (report.agent_run, report.sequence_number)
+        if trio.current_time() - report.sampled_at > _REPORT_KEPT_S:
             return
         if self.put_report(agent, report):
             self.handle_report(agent, report)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/stream_calls.py
@@ -93,10 +93,10 @@
         self._move_again_at = 0.0
         self._has_stopped_in_vain = False
         self._hand_over_ms: typing.Final = (
-            _HAND_OVER_MS + shared.source.random() * _HAND_OVER_SPREAD_MS
+            _HAND_OVER_MS + shared.rng.random() * _HAND_OVER_SPREAD_MS
         )
         self._pace: typing.Final = stream_pace.StreamPace(
-            request.route, shared.measures, trio.current_time()
+            request.route, shared.metrics, trio.current_time()
         )
 
     async def serve(self) -> typing.Optional[refusals.Refusal]:
@@ -117,7 +117,7 @@
             plan = self._plan_after_break(last)
         return self._give_up()
 
-    def describe_pace(self) -> dict[str, typing.Any]:
+    def describe_timing(self) -> dict[str, typing.Any]:
         """Return the number of events and the longest pause."""
         return self._pace.describe()
 
@@ -273,9 +273,11 @@
         """
         unused = "" if self._move is None else self._move.take_unused()
         if unused:
-            self._shared.free_copy(run.target, unused)
+            self._shared.schedule_copy_release(run.target, unused)
         if following is not None and run.backup is not None:
-            self._shared.free_copy(run.backup, self._request.request_id)
+            self._shared.schedule_copy_release(
+                run.backup, self._request.request_id
+            )
 
     async def _end_when_silent(
         self, run: stream_runs.StreamRun, nursery: trio.Nursery
@@ -360,7 +362,7 @@
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Return a run elsewhere if the target leaves, else None."""
         target = run.target
-        if target.takes_work() or self._request.route.may_repeat():
+        if target.accepts_work() or self._request.route.may_repeat():
             # A stream that may be run again goes on after the break.
             return None
         left_ms = _find_left_ms(target)
@@ -376,7 +378,7 @@
 
     def _has_backup(self, run: stream_runs.StreamRun) -> bool:
         """Tell whether the copy at the backup can be counted on."""
-        if run.backup is None or not run.backup.takes_work():
+        if run.backup is None or not run.backup.accepts_work():
             return False
         return trio.current_time() - run.began_at >= _BACKUP_READY_S
 
@@ -403,7 +405,7 @@
         self,
         run: stream_runs.StreamRun,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> typing.Optional[stream_runs.StreamRun]:
         """Copy the memory ahead; once it is there, go on from it."""
         if self._has_stopped_in_vain:
@@ -442,7 +444,7 @@
         self,
         target: targets.Target,
         nursery: trio.Nursery,
-        engine: routes.EngineShape,
+        engine: routes.EngineSpec,
     ) -> generation_moves.GenerationMove:
         def count_memory() -> int:
             made = self._pace.events * engine.event_tokens
@@ -451,7 +453,7 @@
         move = generation_moves.GenerationMove(
             self._shared.calls,
             target,
-            lambda: self._shared.choose_room(self._request, target),
+            lambda: self._shared.choose_destination(self._request, target),
             self._request.request_id,
             engine,
             count_memory,
@@ -469,7 +471,7 @@
     def _log_move(
         self, source: targets.Target, destination: targets.Target, way: str
     ) -> None:
-        self._shared.measures.record_move(way)
+        self._shared.metrics.record_move(way)
         logs.log_event(
             events.GENERATION_MOVED,
             source=source.target_id,
