--- a/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
@@ -64,7 +64,7 @@
             self.address, data_centre
         )
         self.gossip: typing.Final = gossip_state.GossipState(self.table)
-        self.gossip.handle_report = self._take_report
+        self.gossip.handle_report = self._record_report
         self.fleet: typing.Final = fleet
         self.links: typing.Final[dict[str, Link]] = {}
         self.seeds: tuple[str, ...] = ()
@@ -93,7 +93,7 @@
         )
         self.gossip.add_topic(self.follower)
 
-    def _take_report(self, agent: str, report: targets.EngineReport) -> None:
+    def _record_report(self, agent: str, report: targets.EngineReport) -> None:
         self.reports[agent] = report
         self.heard_at.setdefault(agent, trio.current_time())
 
@@ -223,7 +223,7 @@
         self._nursery.start_soon(self.add(entry.number).run)
 
     def connect(self, entry: Entry) -> None:
-        """Open connections that an entry wants; close unwanted ones."""
+        """Open the connections an entry wants; close those neither wants."""
         wanted = entry.find_wanted()
         for address in wanted - set(entry.links):
             other = self.entries.get(address)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
@@ -26,9 +26,8 @@
 _CONNECTION_CHECK_S: typing.Final = 0.25
 """Seconds between checks of which connections to open and close."""
 MAX_SEND_INTERVAL_S: typing.Final = 0.25
-"""Seconds, at most, between messages with what the other end of a connection
-lacks. Each entry that passes a report of an engine on adds up to this to the
-report's age."""
+"""Seconds, at most, until a connection is sent what its other end lacks. A
+report of an engine gets up to this much older at each entry on its way."""
 _FIRST_RETRY_S: typing.Final = 0.4
 """Seconds until another attempt to connect after the first failure; doubles
 with each further one."""
@@ -41,7 +40,7 @@
 """Seconds between attempts to reach seeds that are not live members. Groups
 of entries that were separated know of each other only by the seeds."""
 _MAX_RELAYED_ENGINES: typing.Final = 512
-"""Engines that are remembered as passed on."""
+"""Engines that are remembered as passed on, so as not to do so again."""
 _Message = abc.Mapping[str, typing.Any]
 
 
@@ -154,7 +153,7 @@
                 dial.scope.cancel()
 
     def _find_wanted(self, now: float) -> set[str]:
-        """Return the addresses to open connections to, or keep them."""
+        """Return the addresses that this entry should be connected to."""
         failed = {
             address
             for address, failures in self._failures.items()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
@@ -4,7 +4,7 @@
 engines whose agents only some entries are connected to, and how far the log's
 topics were read. A connection carries each item at most once in each
 direction, and nothing is sent back to the entry that sent it. So what an
-entry spends depends on its number of connections, not on the number of
+entry sends depends on its number of connections, not on the number of
 entries.
 """
 
@@ -34,12 +34,11 @@
 _Message = abc.Mapping[str, typing.Any]
 
 HandleReport = abc.Callable[[str, targets.EngineReport], None]
-"""Handles a report; is given the address of the engine's agent and the
-report."""
+"""Called with the address of an agent and the report of its engine."""
 
 
 def _ignore_report(agent: str, report: targets.EngineReport) -> None:
-    """Only keep the report to pass it on."""
+    """Do nothing with a report; it is passed on all the same."""
 
 
 class LinkState:
@@ -106,7 +105,10 @@
         self.notify_urgent()
 
     def tick(self) -> None:
-        """Send heartbeats when due, drop what is old; is called often."""
+        """Increment the heartbeat counter if due, and drop old reports.
+
+        Must be called several times a second.
+        """
         now = trio.current_time()
         self.members.tick(now)
         for agent, report in self._reports.list_all():
@@ -154,10 +156,11 @@
     ) -> tuple[
         abc.Sequence[_Message], abc.Mapping[str, int], abc.Sequence[str]
     ]:
-        """Return members unknown to the other end, counters, and leavers.
+        """Return what the other end lacks of the members.
 
-        The counters are those of members that it knows. The leavers are the
-        addresses of the members of both parts that are leaving.
+        The first part has the members that it does not know, the second the
+        new heartbeat counters of those that it knows, and the third the
+        addresses of those of both parts that are leaving.
         """
         new_members = []
         beats = {}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/peer_links.py
@@ -91,7 +91,8 @@
 
     async def read_newest(self, within_ms: float) -> ports.KeyedSlice:
         """Return the latest record of every key; see the base class."""
-        # A start of 0 makes the other entry send its snapshot.
+        # No entry keeps all records from offset 0 on, so the answer to a
+        # start of 0 is the latest record of every key.
         return self._decode(
             await self._link.request_records(self._topic, 0, within_ms)
         )
@@ -147,19 +148,19 @@
     """
     end = None if follower is None else follower.next_offset
     records: abc.Iterable[ports.KeyedRecord] = ()
-    is_whole = False
+    is_snapshot = False
     if follower is not None and (end or 0) > message["start"]:
         changes = follower.list_changes(message["start"])
-        is_whole = not message["start"] or changes is None
+        is_snapshot = not message["start"] or changes is None
         records = follower.latest_by_key.values()
-        if not is_whole:
+        if not is_snapshot:
             records = changes or ()
     return {
         "type": "records_found",
         "number": message["number"],
         "known": end is not None,
         "end": end or 0,
-        "whole": is_whole,
+        "whole": is_snapshot,
         "records": [
             {
                 "key": record.key,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
@@ -206,7 +206,7 @@
         self._unavailable = trio.Event()
         self._failures = 0
         self._succeeded_at = deadlines.NEVER
-        self._random: typing.Final = random.Random()
+        self._rng: typing.Final = random.Random()
         self.notify_progress: collections_abc.Callable[[], None] = (
             _ignore_progress
         )
@@ -390,7 +390,7 @@
         that is gone only shows it by a timeout.
         """
         peer_topics = list(self._list_peer_topics())
-        asked = self._random.sample(
+        asked = self._rng.sample(
             peer_topics, min(_PEERS_PER_ROUND, len(peer_topics))
         )
         async with trio.open_nursery() as nursery:
