--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
@@ -47,7 +47,7 @@
 
 
 def count_outbound_links() -> int:
-    """Return how many connections an entry opens where not all are linked."""
+    """Return how many connections an entry opens in a larger fleet."""
     return _NEAR_LINKS + _FAR_LINKS
 
 
