--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission.py
@@ -1,10 +1,10 @@
-"""Admission: which calls run on the target now, which wait.
+"""Admission control: decides which calls run on the target and which wait.
 
-All work for a target passes through its agent, so the agent decides; an
-entry's view is always stale. A call starts, waits in a bounded queue, or is
-refused at once with the time to come back. Decisions are made when something
-happens that can change one: a call comes or goes, a stream gets on, or the
-engine reports its load. Nothing here stops a call that runs.
+All work for a target passes through its agent, so the agent decides: an
+entry's view of the target is always out of date. A call starts, waits in a
+bounded queue, or is refused at once with a retry delay. Decisions are made
+on events that can change one: a call arrives or ends, a stream advances, or
+the engine reports its load. Admission never stops a running call.
 """
 
 from collections import abc
@@ -26,14 +26,19 @@
 __all__ = ("AdmissionControl",)
 
 _MAX_QUEUED: typing.Final = 256
+"""Maximum number of waiting calls if the service sets none."""
 _QUEUE_WITHIN_MS: typing.Final = 20_000
-_MOST_PASSES: typing.Final = 32
-_PROGRESS_MS: typing.Final = 20.0
-_PACE_KNOWN_MS: typing.Final = 5000.0
+"""Longest wait for admission if the service sets none, milliseconds."""
+_MAX_OVERTAKES: typing.Final = 32
+"""Maximum number of short calls that may overtake one waiting call."""
+_PROGRESS_INTERVAL_MS: typing.Final = 20.0
+"""Minimum time between decisions prompted by tokens, milliseconds."""
+_PACE_VALID_MS: typing.Final = 5000.0
+"""Time after which a measured pace is out of date, milliseconds."""
 
 
 class AdmissionControl(admission_policy.SlotObserver):
-    """The queue before the target and the set of running calls."""
+    """The queue in front of the target and the set of running calls."""
 
     def __init__(
         self,
@@ -48,10 +53,10 @@
         self._drain: typing.Final = drain_rates.DrainRate()
         self._meter: typing.Final = pace_limits.PaceMeter()
         self._pace_ms = 0.0
-        self._pace_read_ms = 0.0
+        self._pace_measured_ms = 0.0
         self._running: typing.Final[dict[admission_policy.Slot, None]] = {}
-        self._by_customer: typing.Final[dict[str, int]] = {}
-        self._decided_ms = 0.0
+        self._running_by_customer: typing.Final[dict[str, int]] = {}
+        self._last_decision_ms = 0.0
         self.load: typing.Optional[ports.EngineLoad] = None
 
     def count_running(self) -> int:
@@ -63,7 +68,7 @@
         return self._queue.count()
 
     def count_customers(self) -> int:
-        """Return the number of customers of whom the queue keeps a past."""
+        """Return the number of customers whose usage the queue tracks."""
         return self._queue.count_customers()
 
     def predict_memory(self) -> typing.Optional[float]:
@@ -71,50 +76,50 @@
         return self._policy.predict_memory(self._running.keys())
 
     def predict_wait_ms(self) -> float:
-        """Return how long a call would wait that came now, milliseconds."""
+        """Return the predicted wait of a call that arrives now, in ms."""
         if not self._queue.count():
             return 0.0
         return self._drain.predict_wait_ms(self._queue.count())
 
     def read_pace_ms(self) -> float:
-        """Return the median time between tokens of late; 0 if unknown.
+        """Return the recent median time between tokens; 0 if unknown.
 
-        A pace that is old is no longer known: entries that gave a slow
-        target less try it again then.
+        A pace expires, so that entries which send less to a slow target try
+        it again.
         """
         now_ms = deadlines.read_clock_ms()
         pace = self._meter.close_window()
         if pace is not None:
             self._pace_ms = pace.median_ms
-            self._pace_read_ms = now_ms
-        elif now_ms - self._pace_read_ms > _PACE_KNOWN_MS:
+            self._pace_measured_ms = now_ms
+        elif now_ms - self._pace_measured_ms > _PACE_VALID_MS:
             self._pace_ms = 0.0
         return self._pace_ms
 
     def note_load(self, load: ports.EngineLoad) -> None:
-        """Take a report of the engine."""
+        """Process a load report of the engine."""
         self.load = load
         self._policy.note_load(load, self._running.keys())
-        self._decide()
+        self._admit_waiting()
 
     @contextlib.asynccontextmanager
     async def admit(
         self, profile: admission_policy.CallProfile
     ) -> abc.AsyncIterator[admission_policy.Slot]:
-        """Wait until the call may start, and hold its place while it runs.
+        """Wait until the call may start, and hold its slot while it runs.
 
-        Raises :class:`errors.CallError` with ``not_run``: at once when the
-        queue is full or the wait would be too long, else when its deadline
-        comes.
+        Raises :class:`errors.CallError` with ``not_run``: at once if the
+        queue is full or the predicted wait is too long, otherwise when the
+        call's deadline passes.
         """
         ticket = self._make_ticket(profile)
         self._queue.add(ticket)
         try:
-            self._decide()
+            self._admit_waiting()
             if not ticket.decided.is_set():
-                self._refuse_hopeless(ticket)
+                self._refuse_early(ticket)
             if not ticket.decided.is_set():
-                with trio.CancelScope(deadline=ticket.give_up.at):
+                with trio.CancelScope(deadline=ticket.wait_deadline.at):
                     await ticket.decided.wait()
             if ticket.slot is None:
                 raise ticket.refusal or self._make_refusal(
@@ -128,9 +133,9 @@
     def admit_running(
         self, profile: admission_policy.CallProfile
     ) -> abc.Iterator[admission_policy.Slot]:
-        """Hold the place of a call that runs at the target already.
+        """Hold the slot of a call that already runs at the target.
 
-        It is not asked whether it may run: it takes its memory either way,
+        The call starts regardless of the policy: it uses memory in any case,
         and calls admitted without counting it would preempt it.
         """
         ticket = self._make_ticket(profile)
@@ -147,30 +152,32 @@
     ) -> fair_queue.Ticket:
         spec = self._service.spec
         within_ms = spec.get("queue_within_ms", _QUEUE_WITHIN_MS)
-        give_up = deadlines.make_deadline(within_ms).earlier(profile.start_by)
+        wait_deadline = deadlines.make_deadline(within_ms).earlier(
+            profile.start_by
+        )
         return fair_queue.Ticket(
             profile,
             self._estimator.estimate_call(profile, spec.get("max_tokens", 0)),
             deadlines.read_clock_ms(),
-            give_up,
+            wait_deadline,
         )
 
-    def _refuse_hopeless(self, ticket: fair_queue.Ticket) -> None:
-        """Refuse at once what would be refused later.
+    def _refuse_early(self, ticket: fair_queue.Ticket) -> None:
+        """Refuse a call now if it would be refused later anyway.
 
-        A call that waits in vain has lost the time in which its caller
-        could have gone elsewhere, and has held a place in the queue.
+        A call that waits in vain occupies a place in the queue, and its
+        caller loses time in which it could have used another target.
         """
-        most = self._service.spec.get("max_queued", _MAX_QUEUED)
-        if self._queue.count() > most:
+        max_queued = self._service.spec.get("max_queued", _MAX_QUEUED)
+        if self._queue.count() > max_queued:
             victim = self._queue.find_victim(ticket)
             half_ms = self._predict_wait_ms(self._queue.count() // 2)
             self._refuse(victim, "the queue is full", half_ms)
         if ticket.decided.is_set() or not self._drain.is_known():
             return
         wait_ms = self._predict_wait_ms(self._queue.count_ahead(ticket))
-        excess_ms = wait_ms - ticket.give_up.remaining_ms()
-        if ticket.give_up.is_limited() and excess_ms > 0:
+        excess_ms = wait_ms - ticket.wait_deadline.remaining_ms()
+        if ticket.wait_deadline.is_limited() and excess_ms > 0:
             self._refuse(ticket, "the wait would be too long", excess_ms)
 
     def _predict_wait_ms(self, ahead: int) -> float:
@@ -198,57 +205,60 @@
             self._queue.remove(ticket)
         else:
             self._release(ticket, slot)
-        self._decide()
+        self._admit_waiting()
 
     def _release(
         self, ticket: fair_queue.Ticket, slot: admission_policy.Slot
     ) -> None:
         del self._running[slot]
         customer = slot.profile.customer
-        self._by_customer[customer] -= 1
-        if not self._by_customer[customer]:
-            del self._by_customer[customer]
+        self._running_by_customer[customer] -= 1
+        if not self._running_by_customer[customer]:
+            del self._running_by_customer[customer]
         now_ms = deadlines.read_clock_ms()
         self._drain.note_release(now_ms - slot.started_ms)
         self._drain.note_running(len(self._running), now_ms)
         cost = self._estimator.find_cost(
             slot.estimate.prompt_tokens, slot.tokens
         )
-        self._queue.settle(ticket, cost)
+        self._queue.charge_actual_cost(ticket, cost)
         self._policy.note_release(slot)
 
-    def _decide(self) -> None:
-        """Start whatever may start now."""
+    def _admit_waiting(self) -> None:
+        """Start every waiting call that may start now."""
         now_ms = deadlines.read_clock_ms()
-        self._decided_ms = now_ms
-        while self._queue.count() and self._has_room():
+        self._last_decision_ms = now_ms
+        while self._queue.count() and self._is_below_limit():
             head = self._queue.find_next(now_ms, self._is_within_limit)
             if head is None:
                 return
             if self._may_start(head):
                 self._start(head, now_ms)
-            elif not self._let_short_pass(head, now_ms):
+            elif not self._start_short_call(head, now_ms):
                 return
 
-    def _has_room(self) -> bool:
-        most = self._service.spec.get("max_concurrent", 0)
-        return not most or len(self._running) < most
+    def _is_below_limit(self) -> bool:
+        max_running = self._service.spec.get("max_concurrent", 0)
+        return not max_running or len(self._running) < max_running
 
     def _is_within_limit(self, ticket: fair_queue.Ticket) -> bool:
         limit = ticket.profile.customer_limit
-        running = self._by_customer.get(ticket.profile.customer, 0)
+        running = self._running_by_customer.get(ticket.profile.customer, 0)
         return not limit or running < limit
 
     def _may_start(self, ticket: fair_queue.Ticket) -> bool:
         return self._policy.may_start(ticket.estimate, self._running.keys())
 
-    def _let_short_pass(self, head: fair_queue.Ticket, now_ms: float) -> bool:
-        """Start a short answer before a long one that has to wait.
+    def _start_short_call(
+        self, head: fair_queue.Ticket, now_ms: float
+    ) -> bool:
+        """Start a short call ahead of a long one that doesn't fit yet.
 
-        Only so many pass one head: each takes a little of the memory that
-        the head waits for, and without a bound it could wait for ever.
+        The number of calls that overtake one head is bounded: each takes a
+        little of the memory that the head waits for, so without a bound the
+        head could starve.
         """
-        if head.estimate.is_short or head.passed >= _MOST_PASSES:
+        if head.estimate.is_short or head.overtaken >= _MAX_OVERTAKES:
             return False
 
         def allow(ticket: fair_queue.Ticket) -> bool:
@@ -257,12 +267,12 @@
         short = self._queue.find_next(now_ms, allow)
         if short is None or not self._may_start(short):
             return False
-        head.passed += 1
+        head.overtaken += 1
         self._start(short, now_ms)
         return True
 
     def _start(self, ticket: fair_queue.Ticket, now_ms: float) -> None:
-        self._queue.serve(ticket, now_ms)
+        self._queue.start(ticket, now_ms)
         slot = admission_policy.Slot(
             ticket.profile, ticket.estimate, self, now_ms
         )
@@ -270,7 +280,9 @@
         self._running[slot] = None
         self._drain.note_running(len(self._running), now_ms)
         customer = ticket.profile.customer
-        self._by_customer[customer] = self._by_customer.get(customer, 0) + 1
+        self._running_by_customer[customer] = (
+            self._running_by_customer.get(customer, 0) + 1
+        )
         ticket.slot = slot
         ticket.decided.set()
 
@@ -281,21 +293,24 @@
         *,
         is_new_bin: bool,
     ) -> None:
-        """Take note of a token, and decide anew if it may matter."""
+        """Record a token, and decide again if it can change a decision."""
         self._policy.note_token(slot, gap_ms)
         if gap_ms is not None:
             self._meter.note_gap(gap_ms)
         if not self._queue.count() or not (is_new_bin or slot.preempted):
             return
-        if deadlines.read_clock_ms() - self._decided_ms >= _PROGRESS_MS:
-            self._decide()
+        if (
+            deadlines.read_clock_ms() - self._last_decision_ms
+            >= _PROGRESS_INTERVAL_MS
+        ):
+            self._admit_waiting()
 
     def note_preemption(self, slot: admission_policy.Slot) -> None:
-        """Take note of a preemption."""
+        """Record a preemption."""
         self._policy.note_preemption(slot)
 
     def note_end(
         self, slot: admission_policy.Slot, prompt_tokens: int
     ) -> None:
-        """Learn the size of the prompt."""
+        """Learn from the engine's count of the prompt's tokens."""
         self._estimator.note_prompt(slot.profile.prompt, prompt_tokens)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policies.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policies.py
@@ -1,4 +1,4 @@
-"""The admission policies by the names that the settings allow."""
+"""Creates the admission policy that the settings name."""
 
 from gentianpoint_agent import admission_policy
 from gentianpoint_agent import applied_service
@@ -15,8 +15,8 @@
 ) -> admission_policy.AdmissionPolicy:
     """Return the policy that the settings name.
 
-    A plain service brings no tokens and reports no load, so only the limits
-    of its resource count.
+    A target of the kind ``plain`` generates no tokens and reports no load,
+    so only the limits of its service resource apply.
     """
     if settings.target_kind == "plain":
         return baseline_policies.UnlimitedPolicy()
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/admission_policy.py
@@ -1,4 +1,4 @@
-"""What all admission policies have in common."""
+"""Types and interfaces that all admission policies share."""
 
 import abc
 from collections import abc as collections_abc
@@ -18,89 +18,89 @@
 
 
 class CallProfile(typing.NamedTuple):
-    """What is known of a call before it runs."""
+    """Properties of a call that are known before it runs."""
 
     customer: str
-    """Customer who asks."""
+    """Customer that sent the call."""
     weight: float
-    """The customer's share in the fair queue."""
+    """The customer's weight in the fair queue."""
     customer_limit: int
-    """Most calls of the customer that run here at once; 0 for no limit."""
+    """Maximum number of the customer's running calls here; 0 for no limit."""
     priority: int
-    """Priority, larger is more urgent."""
+    """Priority; a larger number is more urgent."""
     prompt: str
     """Prompt of a generation."""
     max_tokens: int
-    """Most tokens the caller wants; 0 when it gave no limit."""
+    """Maximum tokens that the caller asked for; 0 if it set no limit."""
     start_by: deadlines.Deadline
-    """After this the call must not start."""
+    """Time after which the call must not start."""
 
 
 class CallEstimate(typing.NamedTuple):
     """What is expected of a call before it runs."""
 
     length: length_estimators.StreamLength
-    """Length of its answer, which grows while it runs."""
+    """Length of its answer; it grows while the call runs."""
     prompt_tokens: int
-    """Expected tokens of its prompt."""
+    """Expected number of prompt tokens."""
     max_tokens: int
-    """Most tokens by the caller's and the service's limit; 0 for none."""
+    """Lower of the caller's and the service's token limit; 0 for none."""
     expected_tokens: float
-    """Mean length of answers like it, in tokens."""
+    """Expected length of the answer, in tokens."""
     cost: float
-    """What it is charged in the fair queue, in tokens."""
+    """Charge for the call in the fair queue, in tokens."""
     is_short: bool
-    """True when the answer is almost surely short."""
+    """True if the answer is very likely short."""
 
 
 class SlotObserver(abc.ABC):
-    """Is told what happens to running calls."""
+    """Receives the events of running calls."""
 
     @abc.abstractmethod
     def note_token(
         self, slot: "Slot", gap_ms: typing.Optional[float], *, is_new_bin: bool
     ) -> None:
-        """Take note of a token.
+        """Record a token.
 
-        ``gap_ms`` is the time since the last, None when that tells nothing
-        of the engine's pace; ``is_new_bin`` when the answer grew into
-        another length class. Called for each token, so it must take
-        constant time.
+        ``gap_ms`` is the time since the previous token, or None if that
+        doesn't reflect the engine's pace. ``is_new_bin`` is true if the
+        answer has grown into the next length bin. Called for each token, so
+        it must take constant time.
         """
 
     @abc.abstractmethod
     def note_preemption(self, slot: "Slot") -> None:
-        """Take note that the engine preempted a call."""
+        """Record that the engine preempted a call."""
 
     @abc.abstractmethod
     def note_end(self, slot: "Slot", prompt_tokens: int) -> None:
-        """Take note of the engine's count of a call's prompt tokens."""
+        """Record the engine's count of a call's prompt tokens."""
 
 
 class Slot:
-    """A running call's place; it tells admission what happens to the call."""
+    """A running call's slot; it reports the call's events to an observer."""
 
     def __init__(
         self,
         profile: CallProfile,
         estimate: CallEstimate,
-        watcher: SlotObserver,
+        observer: SlotObserver,
         started_ms: float,
     ) -> None:
-        """Make the place of a call that starts now."""
+        """Create the slot of a call that starts at ``started_ms``."""
         self.profile: typing.Final = profile
         self.estimate: typing.Final = estimate
         self.started_ms: typing.Final = started_ms
         self.tokens = 0
         self.preempted = False
-        self._watcher: typing.Final = watcher
+        self._observer: typing.Final = observer
         self._last_token_ms = -1.0
 
     def note_token(self, *, is_timed: bool = True) -> None:
-        """Tell that the engine brought a token.
+        """Record a token from the engine.
 
-        One that is not timed was generated before; when it comes tells
-        nothing of the engine's pace.
+        A token with ``is_timed`` false was generated earlier, so the time of
+        its arrival doesn't reflect the engine's pace.
         """
         now_ms = deadlines.read_clock_ms()
         gap_ms = None
@@ -109,31 +109,31 @@
         self._last_token_ms = now_ms
         self.tokens += 1
         is_new_bin = self.estimate.length.add_token()
-        self._watcher.note_token(self, gap_ms, is_new_bin=is_new_bin)
+        self._observer.note_token(self, gap_ms, is_new_bin=is_new_bin)
         self.preempted = False
 
     def note_preemption(self) -> None:
-        """Tell that the engine preempted the call."""
+        """Record that the engine preempted the call."""
         if not self.preempted:
             self.preempted = True
-            self._watcher.note_preemption(self)
+            self._observer.note_preemption(self)
 
     def note_end(self, end: str, prompt_tokens: int) -> None:
-        """Tell that the engine ended the call with the word ``end``.
+        """Record that the engine ended the call for the reason ``end``.
 
-        Only ``stop`` tells how long the answer is; at any other end it was
-        cut, and its length is known to be at least what came.
+        Only ``stop`` shows how long the answer is. With any other reason it
+        was cut off, and the tokens so far are a lower bound of its length.
         """
         if end == "stop":
             self.estimate.length.end()
-        self._watcher.note_end(self, prompt_tokens)
+        self._observer.note_end(self, prompt_tokens)
 
 
 class AdmissionPolicy(abc.ABC):
     """Decides whether one more call may run.
 
-    It is told of each start, preemption and release and of the engine's load
-    reports. It never waits and never stops a call that runs.
+    A policy is told of each start, token, preemption and release and of the
+    engine's load reports. It never waits and never stops a running call.
     """
 
     @abc.abstractmethod
@@ -142,31 +142,31 @@
         estimate: CallEstimate,
         running: collections_abc.Collection[Slot],
     ) -> bool:
-        """Tell whether a call may start beside those running.
+        """Return whether a call may start beside the running ones.
 
-        Must be true for some call when nothing runs and the engine has
-        memory; else the queue would stand still.
+        If nothing runs and the engine has memory, some call must be allowed
+        to start; otherwise the queue would never move.
         """
 
     @abc.abstractmethod
     def note_start(self, slot: Slot) -> None:
-        """Take note of a call that starts; it is in no running set yet."""
+        """Record a call that starts; it is not in the running set yet."""
 
     @abc.abstractmethod
     def note_token(self, slot: Slot, gap_ms: typing.Optional[float]) -> None:
-        """Take note of a token; see :meth:`SlotObserver.note_token`.
+        """Record a token; see :meth:`SlotObserver.note_token`.
 
-        ``slot.preempted`` still tells whether the stream comes back from a
+        ``slot.preempted`` is still true if the stream resumes after a
         preemption with this token.
         """
 
     @abc.abstractmethod
     def note_preemption(self, slot: Slot) -> None:
-        """Take note that the engine preempted a call."""
+        """Record that the engine preempted a call."""
 
     @abc.abstractmethod
     def note_release(self, slot: Slot) -> None:
-        """Take note of a call that has ended in whatever way."""
+        """Record that a call has ended, for any reason."""
 
     @abc.abstractmethod
     def note_load(
@@ -174,7 +174,7 @@
         load: ports.EngineLoad,
         running: collections_abc.Collection[Slot],
     ) -> None:
-        """Take note of a report of the engine, which is ``age_ms`` old."""
+        """Process a load report of the engine, ``age_ms`` old."""
 
     @abc.abstractmethod
     def predict_memory(
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/baseline_policies.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/baseline_policies.py
@@ -1,4 +1,4 @@
-"""Plain ways to admit, which our policy is measured against."""
+"""Simple admission policies, used as baselines for the predictive one."""
 
 from collections import abc
 import typing
@@ -13,12 +13,14 @@
     "UnlimitedPolicy",
 )
 
-_UNLIMITED_TOKENS: typing.Final = 8192
-_SHARE: typing.Final = 0.02
+_DEFAULT_MAX_TOKENS: typing.Final = 8192
+"""Assumed maximum length of an answer without a limit, in tokens."""
+_MIN_SMOOTHING: typing.Final = 0.02
+"""Minimum weight of a new length in the mean of lengths."""
 
 
-class _PlainPolicy(admission_policy.AdmissionPolicy):
-    """Takes note of nothing and predicts nothing."""
+class _BaselinePolicy(admission_policy.AdmissionPolicy):
+    """Base of the baselines: ignores all events and predicts nothing."""
 
     def note_start(self, slot: admission_policy.Slot) -> None:
         """Do nothing."""
@@ -48,8 +50,8 @@
         return None
 
 
-class UnlimitedPolicy(_PlainPolicy):
-    """Lets every call start; the engine queues and preempts."""
+class UnlimitedPolicy(_BaselinePolicy):
+    """Lets every call start; the engine itself queues and preempts."""
 
     def may_start(
         self,
@@ -60,7 +62,7 @@
         return True
 
 
-class FixedPolicy(_PlainPolicy):
+class FixedPolicy(_BaselinePolicy):
     """Lets a fixed number of calls run."""
 
     def __init__(self, limit: int) -> None:
@@ -72,11 +74,11 @@
         estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
-        """Tell whether fewer calls run than may."""
+        """Return whether fewer calls run than the limit."""
         return len(running) < self._limit
 
 
-class _ReservePolicy(_PlainPolicy):
+class _ReservePolicy(_BaselinePolicy):
     """Reserves blocks for each call while it runs."""
 
     def __init__(self) -> None:
@@ -98,7 +100,7 @@
         estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
-        """Tell whether all reservations fit the memory."""
+        """Return whether all reservations fit into the engine's memory."""
         load = self._load
         if load is None or not running:
             return not running
@@ -114,26 +116,26 @@
         load: ports.EngineLoad,
         running: abc.Collection[admission_policy.Slot],
     ) -> None:
-        """Learn the size of the memory."""
+        """Record the size of the engine's memory."""
         self._load = load
 
 
 class ReserveMaximumPolicy(_ReservePolicy):
-    """Reserves the most tokens that a call may bring."""
+    """Reserves the maximum number of tokens that a call may generate."""
 
     def _reserve_tokens(
         self, estimate: admission_policy.CallEstimate
     ) -> float:
-        return estimate.max_tokens or _UNLIMITED_TOKENS
+        return estimate.max_tokens or _DEFAULT_MAX_TOKENS
 
 
 class ReserveMeanPolicy(_ReservePolicy):
-    """Reserves the mean length of the service's answers so far."""
+    """Reserves the moving average of the lengths of ended answers."""
 
     def __init__(self) -> None:
-        """Begin with the length that calls without a limit may have."""
+        """Start with the assumed maximum length as the mean."""
         super().__init__()
-        self._mean = float(_UNLIMITED_TOKENS)
+        self._mean = float(_DEFAULT_MAX_TOKENS)
         self._calls = 0
 
     def _reserve_tokens(
@@ -142,7 +144,7 @@
         return self._mean
 
     def note_release(self, slot: admission_policy.Slot) -> None:
-        """Follow the mean."""
+        """Update the mean with the call's length."""
         self._calls += 1
-        share = max(_SHARE, 1 / self._calls)
+        share = max(_MIN_SMOOTHING, 1 / self._calls)
         self._mean += share * (slot.tokens - self._mean)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_estimates.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_estimates.py
@@ -1,4 +1,4 @@
-"""Outlooks: what is expected of a call, from what earlier ones did."""
+"""Estimates the length and cost of a call from earlier calls."""
 
 import typing
 
@@ -9,55 +9,62 @@
 __all__ = ("CallEstimator",)
 
 _SHORT_TOKENS: typing.Final = 64
-_SHORT_SHARE: typing.Final = 0.9
-_PROMPT_COST: typing.Final = 0.1
+"""Maximum length of a short answer, in tokens."""
+_SHORT_QUANTILE: typing.Final = 0.9
+"""Quantile of the length that must be short for a call to count as short."""
+_PROMPT_TOKEN_COST: typing.Final = 0.1
+"""Cost of a prompt token, in generated tokens."""
 
 
 class CallEstimator:
-    """Learns lengths of answers and sizes of prompts at one target."""
+    """Learns answer lengths and prompt sizes at one target."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start without observations."""
         self.lengths: typing.Final = length_estimators.LengthEstimator()
         self._prompts: typing.Final = prompt_sizes.PromptSizes()
 
     def estimate_call(
         self, profile: admission_policy.CallProfile, service_limit: int
     ) -> admission_policy.CallEstimate:
-        """Return what to expect of a call.
+        """Return the estimate for a new call.
 
-        ``service_limit`` is the service's most tokens of an answer; 0 for
-        no limit.
+        ``service_limit`` is the service's maximum length of an answer in
+        tokens; 0 for no limit.
         """
         limits = [
-            row for row in (profile.max_tokens, service_limit) if row > 0
+            limit for limit in (profile.max_tokens, service_limit) if limit > 0
         ]
-        limit = min(limits, default=0)
-        # By the limit that was asked for, not the one in force: a program
-        # that sets none is another than one that sets the service's.
+        max_tokens = min(limits, default=0)
+        # Grouped by the limit that the caller asked for, not the effective
+        # one: a program that sets no limit differs from one that asks for
+        # the service's maximum.
         length = self.lengths.make_stream(
             profile.customer, profile.prompt, profile.max_tokens
         )
         expected = length.distribution.find_mean()
-        likely = length.distribution.find_quantile(0, _SHORT_SHARE)
-        if limit:
-            expected, likely = min(expected, limit), min(likely, limit)
+        likely = length.distribution.find_quantile(0, _SHORT_QUANTILE)
+        if max_tokens:
+            expected, likely = (
+                min(expected, max_tokens),
+                min(likely, max_tokens),
+            )
         prompt_tokens = self._prompts.estimate(profile.prompt)
         return admission_policy.CallEstimate(
             length,
             prompt_tokens,
-            limit,
+            max_tokens,
             expected,
             self.find_cost(prompt_tokens, expected),
             likely <= _SHORT_TOKENS,
         )
 
     def find_cost(self, prompt_tokens: int, tokens: float) -> float:
-        """Return the charge of a call in tokens generated.
+        """Return the cost of a call in generated tokens.
 
-        A prompt's tokens are computed many at a time, so they cost less.
+        The engine computes many prompt tokens at a time, so each costs less.
         """
-        return max(1.0, tokens + _PROMPT_COST * prompt_tokens)
+        return max(1.0, tokens + _PROMPT_TOKEN_COST * prompt_tokens)
 
     def note_prompt(self, prompt: str, tokens: int) -> None:
         """Learn from the engine's count of a prompt's tokens."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
@@ -1,16 +1,17 @@
-"""The queue before a target: priorities with ageing, fair between customers.
+"""The queue in front of a target: ageing priorities and weighted fairness.
 
 Calls of one priority form a band. The most urgent band is served first, but
-a band gains a priority for each half second in which nothing of it was
-served: a lower band always gets a small share, and a flood in it can't gain
-more than that.
-
-In a band customers share by weight, by start-time fair queueing. On a virtual
-clock each customer has the point up to which its calls were charged, tokens
-over weight; a call's tag is that point, or the clock at its arrival if that
-is later, and the lowest tag is served. What a call really cost is charged
-when it ends. A customer's short answers have a line of their own, so that
-they can pass its reports.
+a band gains one level of priority for every half second in which none of its
+calls started. So a lower band always gets a small share, and a flood of
+calls in it can't gain more than that.
+
+Within a band customers share by weight, with start-time fair queueing. Each
+customer has a finish tag on a virtual clock: the tokens charged for its
+calls, divided by its weight. A call's start tag is its customer's finish tag,
+or the virtual time of its arrival if that is later, and the call with the
+lowest start tag is served. A call is charged its estimated cost when it
+starts, corrected to the actual cost when it ends. A customer's short calls
+have a queue of their own, so that they can overtake its long ones.
 """
 
 import collections
@@ -26,81 +27,84 @@
 __all__ = ("FairQueue", "Ticket")
 
 _AGEING_MS: typing.Final = 500.0
-_CUSTOMERS_REMEMBERED: typing.Final = 4096
-_LEAST_WEIGHT: typing.Final = 1e-3
+"""Time without service that raises a band's priority by 1, milliseconds."""
+_MAX_CUSTOMERS: typing.Final = 4096
+"""Number of finish tags beyond which those of idle customers are evicted."""
+_MIN_WEIGHT: typing.Final = 1e-3
+"""Lowest weight of a customer."""
 
 
 class Ticket:
-    """A call that waits."""
+    """A waiting call and the decision on it."""
 
     def __init__(
         self,
         profile: admission_policy.CallProfile,
         estimate: admission_policy.CallEstimate,
         arrived_ms: float,
-        give_up: deadlines.Deadline,
+        wait_deadline: deadlines.Deadline,
     ) -> None:
-        """Make the ticket of a call that arrives."""
+        """Create the ticket of a call that waits until ``wait_deadline``."""
         self.profile: typing.Final = profile
         self.estimate: typing.Final = estimate
         self.arrived_ms: typing.Final = arrived_ms
-        self.give_up: typing.Final = give_up
+        self.wait_deadline: typing.Final = wait_deadline
         self.number = 0
-        self.arrival = 0.0
-        self.passed = 0
+        self.virtual_arrival = 0.0
+        self.overtaken = 0
         self.slot: typing.Optional[admission_policy.Slot] = None
         self.refusal: typing.Optional[errors.CallError] = None
         self.decided: typing.Final = trio.Event()
 
     def find_weight(self) -> float:
-        """Return the customer's weight, never nothing."""
-        return max(self.profile.weight, _LEAST_WEIGHT)
+        """Return the customer's weight, which is always positive."""
+        return max(self.profile.weight, _MIN_WEIGHT)
 
 
 class _Band:
-    """The waiting calls of one priority, by customer and kind."""
+    """The waiting calls of one priority, by customer and shortness."""
 
     def __init__(self, priority: int) -> None:
         self.priority: typing.Final = priority
-        self.served_ms = 0.0
-        self.lines: typing.Final[
+        self.last_served_ms = 0.0
+        self.queues: typing.Final[
             dict[tuple[str, bool], collections.deque[Ticket]]
         ] = {}
 
     def add(self, ticket: Ticket) -> None:
         key = (ticket.profile.customer, ticket.estimate.is_short)
-        self.lines.setdefault(key, collections.deque()).append(ticket)
+        self.queues.setdefault(key, collections.deque()).append(ticket)
 
     def remove(self, ticket: Ticket) -> None:
         key = (ticket.profile.customer, ticket.estimate.is_short)
-        line = self.lines[key]
-        line.remove(ticket)
-        if not line:
-            del self.lines[key]
+        queue = self.queues[key]
+        queue.remove(ticket)
+        if not queue:
+            del self.queues[key]
 
     def list_heads(
         self, allow: abc.Callable[[Ticket], bool]
     ) -> abc.Sequence[Ticket]:
-        heads = (line[0] for line in self.lines.values())
+        heads = (queue[0] for queue in self.queues.values())
         return [head for head in heads if allow(head)]
 
     def find_urgency(
         self, heads: abc.Sequence[Ticket], now_ms: float
     ) -> float:
         oldest_ms = min(head.arrived_ms for head in heads)
-        since_ms = max(self.served_ms, oldest_ms)
-        return self.priority + (now_ms - since_ms) / _AGEING_MS
+        waiting_since_ms = max(self.last_served_ms, oldest_ms)
+        return self.priority + (now_ms - waiting_since_ms) / _AGEING_MS
 
 
 class FairQueue:
-    """All waiting calls of a target; bounded by who adds to it."""
+    """All waiting calls of a target; its user bounds their number."""
 
     def __init__(self) -> None:
-        """Make an empty queue."""
+        """Create an empty queue."""
         self._bands: typing.Final[dict[int, _Band]] = {}
         self._tickets: typing.Final[dict[str, dict[Ticket, None]]] = {}
-        self._finishes: typing.Final[dict[str, float]] = {}
-        self._clock = 0.0
+        self._finish_tags: typing.Final[dict[str, float]] = {}
+        self._virtual_time = 0.0
         self._count = 0
         self._last_number = 0
 
@@ -109,14 +113,14 @@
         return self._count
 
     def count_customers(self) -> int:
-        """Return the number of customers of whom something is kept."""
-        return len(self._finishes)
+        """Return the number of customers that have a finish tag."""
+        return len(self._finish_tags)
 
     def add(self, ticket: Ticket) -> None:
-        """Add a call at the end of its customer's line."""
+        """Append a call to its customer's queue."""
         self._last_number += 1
         ticket.number = self._last_number
-        ticket.arrival = self._clock
+        ticket.virtual_arrival = self._virtual_time
         priority = ticket.profile.priority
         band = self._bands.setdefault(priority, _Band(priority))
         band.add(ticket)
@@ -124,33 +128,33 @@
         self._tickets.setdefault(customer, {})[ticket] = None
         self._count += 1
 
-    def _find_tag(self, ticket: Ticket) -> float:
-        charged = self._finishes.get(ticket.profile.customer, 0.0)
-        return max(charged, ticket.arrival)
+    def _find_start_tag(self, ticket: Ticket) -> float:
+        finish_tag = self._finish_tags.get(ticket.profile.customer, 0.0)
+        return max(finish_tag, ticket.virtual_arrival)
 
-    def _forget_idle(self) -> None:
-        """Forget customers whose past no longer matters.
+    def _evict_idle(self) -> None:
+        """Drop the finish tags of idle customers when there are too many.
 
-        A customer whose last call ended in the virtual past starts at the
-        clock, known or not. Beyond the bound the ones that used least go;
-        they gain no more than what they used of late.
+        A customer whose finish tag lies in the virtual past starts at the
+        current virtual time, with or without a tag. The lowest tags are
+        dropped first; a customer gains at most the cost of its recent calls.
         """
-        if len(self._finishes) <= _CUSTOMERS_REMEMBERED:
+        if len(self._finish_tags) <= _MAX_CUSTOMERS:
             return
-        by_finish = sorted(self._finishes, key=self._finishes.__getitem__)
-        for customer in by_finish[: _CUSTOMERS_REMEMBERED // 2]:
+        by_tag = sorted(self._finish_tags, key=self._finish_tags.__getitem__)
+        for customer in by_tag[: _MAX_CUSTOMERS // 2]:
             if customer not in self._tickets:
-                del self._finishes[customer]
+                del self._finish_tags[customer]
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take out a call that will not run; False if it was out already."""
+        """Remove a call that won't run; False if it was not queued."""
         tickets = self._tickets.get(ticket.profile.customer, {})
         if ticket not in tickets:
             return False
-        self._take_out(ticket)
+        self._dequeue(ticket)
         return True
 
-    def _take_out(self, ticket: Ticket) -> None:
+    def _dequeue(self, ticket: Ticket) -> None:
         customer = ticket.profile.customer
         tickets = self._tickets[customer]
         del tickets[ticket]
@@ -159,29 +163,29 @@
         self._bands[ticket.profile.priority].remove(ticket)
         self._count -= 1
 
-    def serve(self, ticket: Ticket, now_ms: float) -> None:
-        """Take out a call that starts; charge what it is expected to cost."""
-        tag = self._find_tag(ticket)
-        self._take_out(ticket)
-        self._clock = max(self._clock, tag)
-        self._finishes[ticket.profile.customer] = (
-            tag + ticket.estimate.cost / ticket.find_weight()
+    def start(self, ticket: Ticket, now_ms: float) -> None:
+        """Remove a call that starts, and charge its estimated cost."""
+        start_tag = self._find_start_tag(ticket)
+        self._dequeue(ticket)
+        self._virtual_time = max(self._virtual_time, start_tag)
+        self._finish_tags[ticket.profile.customer] = (
+            start_tag + ticket.estimate.cost / ticket.find_weight()
         )
-        self._forget_idle()
-        self._bands[ticket.profile.priority].served_ms = now_ms
+        self._evict_idle()
+        self._bands[ticket.profile.priority].last_served_ms = now_ms
 
-    def settle(self, ticket: Ticket, cost: float) -> None:
-        """Charge what a call really cost instead of what was expected."""
+    def charge_actual_cost(self, ticket: Ticket, cost: float) -> None:
+        """Replace the charge for a call by its actual cost."""
         customer = ticket.profile.customer
-        finish = self._finishes.get(customer)
-        if finish is not None:
+        finish_tag = self._finish_tags.get(customer)
+        if finish_tag is not None:
             excess = (cost - ticket.estimate.cost) / ticket.find_weight()
-            self._finishes[customer] = max(0.0, finish + excess)
+            self._finish_tags[customer] = max(0.0, finish_tag + excess)
 
     def find_next(
         self, now_ms: float, allow: abc.Callable[[Ticket], bool]
     ) -> typing.Optional[Ticket]:
-        """Return the call whose turn it is among those allowed."""
+        """Return the next call to serve among those that ``allow`` admits."""
         best: typing.Optional[Ticket] = None
         best_urgency = 0.0
         for band in self._bands.values():
@@ -191,57 +195,60 @@
             urgency = band.find_urgency(heads, now_ms)
             if best is None or urgency > best_urgency:
                 best = min(
-                    heads, key=lambda head: (self._find_tag(head), head.number)
+                    heads,
+                    key=lambda head: (self._find_start_tag(head), head.number),
                 )
                 best_urgency = urgency
         return best
 
     def count_ahead(self, ticket: Ticket) -> int:
-        """Return how many waiting calls come before a call, about.
+        """Return the approximate number of calls served before a call.
 
-        All of higher bands do, and those of its band that would be served
-        by tags before it if each costs what is expected.
+        These are all calls of higher bands, and those of its own band that
+        have a lower start tag if each call costs what is estimated.
         """
         ahead = 0
         for band in self._bands.values():
             if band.priority > ticket.profile.priority:
-                ahead += sum(len(line) for line in band.lines.values())
+                ahead += sum(len(queue) for queue in band.queues.values())
         band = self._bands[ticket.profile.priority]
-        tags = dict(self._predict_tags(band))
+        tags = dict(self._predict_start_tags(band))
         own = (tags[ticket], ticket.number)
         return ahead + sum(
-            (tag, row.number) < own for row, tag in tags.items()
+            (tag, other.number) < own for other, tag in tags.items()
         )
 
-    def _predict_tags(self, band: _Band) -> abc.Iterator[tuple[Ticket, float]]:
-        finishes: dict[str, float] = {}
-        for line in band.lines.values():
-            for row in line:
-                customer = row.profile.customer
-                tag = finishes.get(customer, self._find_tag(row))
-                yield row, tag
-                finishes[customer] = (
-                    tag + row.estimate.cost / row.find_weight()
+    def _predict_start_tags(
+        self, band: _Band
+    ) -> abc.Iterator[tuple[Ticket, float]]:
+        finish_tags: dict[str, float] = {}
+        for queue in band.queues.values():
+            for ticket in queue:
+                customer = ticket.profile.customer
+                tag = finish_tags.get(customer, self._find_start_tag(ticket))
+                yield ticket, tag
+                finish_tags[customer] = (
+                    tag + ticket.estimate.cost / ticket.find_weight()
                 )
 
     def find_victim(self, newcomer: Ticket) -> Ticket:
-        """Return the call to refuse when one too many waits.
+        """Return the call to refuse when the queue is too long.
 
-        It is one of the lowest priority, of the customer who has the most
-        waiting there for its weight, and the one that came last: a customer
-        who fills the queue displaces itself, not the others.
+        It has the lowest priority, belongs to the customer with the most
+        waiting calls of that priority for its weight, and is the customer's
+        last one: a customer that fills the queue displaces its own calls.
         """
         lowest = min(
-            band.priority for band in self._bands.values() if band.lines
+            band.priority for band in self._bands.values() if band.queues
         )
-        rows: dict[str, list[Ticket]] = {}
-        for (customer, _), line in self._bands[lowest].lines.items():
-            rows.setdefault(customer, []).extend(line)
+        waiting: dict[str, list[Ticket]] = {}
+        for (customer, _), queue in self._bands[lowest].queues.items():
+            waiting.setdefault(customer, []).extend(queue)
 
         def rank(customer: str) -> tuple[float, bool]:
-            waiting = rows[customer]
-            share = len(waiting) / waiting[0].find_weight()
+            tickets = waiting[customer]
+            share = len(tickets) / tickets[0].find_weight()
             return share, customer == newcomer.profile.customer
 
-        greediest = max(rows, key=rank)
-        return max(rows[greediest], key=lambda row: row.number)
+        largest = max(waiting, key=rank)
+        return max(waiting[largest], key=lambda ticket: ticket.number)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
@@ -1,18 +1,19 @@
-"""Forecast of the peak of an engine's cache memory.
-
-All streams of a batch gain a token in each step. So at a number of tokens
-from now a stream is still there with the chance that its length, given what
-it has brought already, is at least that; if so it holds the blocks of its
-prompt and its tokens. Over independent streams means and variances add up,
-and the sum is close to a normal distribution: at some horizons, each a
-quarter further than the last, the forecast is the mean and a number of
-standard deviations, and its peak is the highest of them. A sum never exceeds
-what all streams that may still be there would hold together.
-
-The sums are kept: a stream is added when it starts, taken out when it ends,
-and read anew from time to time, a few at once. So a decision costs the same
-whatever the number of streams, and plain Python does; a library for arrays
-would take thirteen megabytes of each agent.
+"""Forecasts the peak of an engine's cache memory.
+
+All streams of a batch gain a token in each step. After a given number of
+further tokens, a stream is still running with the probability that its
+length, given the tokens so far, is at least that long; if so it holds the
+blocks of its prompt and its tokens. Over independent streams means and
+variances add up, and the sum is close to a normal distribution. The forecast
+at each of a number of horizons, each a quarter further than the last, is the
+mean plus a number of standard deviations, and the peak is the highest of
+them. A forecast never exceeds what all streams that may still run at that
+horizon would hold together.
+
+The sums are maintained incrementally: a stream is added when it starts,
+removed when it ends, and recomputed from time to time, a few streams at once.
+So a decision costs the same for any number of streams, and plain Python is
+fast enough; an array library would take thirteen megabytes of each agent.
 """
 
 from collections import abc
@@ -25,157 +26,162 @@
 __all__ = ("HORIZONS", "MemoryForecast", "StreamMemory")
 
 _FIRST_HORIZON: typing.Final = 8
+"""First horizon after the present, in tokens per stream."""
 _HORIZONS_PER_DOUBLING: typing.Final = 3
+"""Number of horizons from one horizon to its double."""
 _DOUBLINGS: typing.Final = 13
+"""Number of doublings that the horizons cover."""
 HORIZONS: typing.Final = (
     0,
     *(
-        round(_FIRST_HORIZON * 2.0 ** (place / _HORIZONS_PER_DOUBLING))
-        for place in range(_DOUBLINGS * _HORIZONS_PER_DOUBLING)
+        round(_FIRST_HORIZON * 2.0 ** (index / _HORIZONS_PER_DOUBLING))
+        for index in range(_DOUBLINGS * _HORIZONS_PER_DOUBLING)
     ),
 )
-"""Numbers of tokens from now at which the memory is forecast."""
+"""Numbers of further tokens per stream at which memory is forecast."""
 _LATER_HORIZONS: typing.Final = tuple(enumerate(HORIZONS))[1:]
 
-_LEAST_SURVIVAL: typing.Final = 1e-9
-_RENEWED_AT_ONCE: typing.Final = 8
-# No memory is kept for chances smaller than this. A table that knows a few
-# hundred streams can't tell them from nothing, and its prior for the unknown
-# tail would otherwise reserve most of the engine for it.
-_LEAST_CHANCE: typing.Final = 0.005
-_CLASSES_PER_DOUBLING: typing.Final = length_distributions.CLASSES_PER_DOUBLING
+_MIN_SURVIVAL: typing.Final = 1e-9
+"""Lower bound of the divisor that conditions survival on a stream's length."""
+_MAX_REFRESHED: typing.Final = 8
+"""Maximum number of streams that are recomputed at once."""
+_MIN_PROBABILITY: typing.Final = 0.005
+"""Probability to be still running below which a stream's memory is ignored.
+A table of a few hundred streams can't tell it from zero, and the prior of the
+tail would otherwise reserve most of the engine."""
+_BINS_PER_DOUBLING: typing.Final = length_distributions.BINS_PER_DOUBLING
 _LAST_POSITION: typing.Final = length_distributions.LAST_POSITION
 
 
 class StreamMemory(typing.NamedTuple):
-    """What a forecast needs of one stream."""
+    """Properties of one stream that determine its memory."""
 
     distribution: length_distributions.LengthDistribution
-    """Lengths of streams alike."""
+    """Distribution of the lengths of similar streams."""
     prompt_tokens: int
-    """Tokens of its prompt."""
+    """Number of prompt tokens."""
     tokens: int
-    """Tokens it has brought."""
+    """Number of tokens generated so far."""
     max_tokens: int
-    """Most tokens it may bring; 0 for no limit."""
+    """Maximum number of generated tokens; 0 for no limit."""
 
 
-class _Summand(typing.NamedTuple):
-    """A stream and the chances that were read for it."""
+class _Term(typing.NamedTuple):
+    """A stream's contribution to the sums, by the survival table used."""
 
     stream: StreamMemory
-    table: abc.Sequence[float]
-    renew_at_ms: float
+    survival: abc.Sequence[float]
+    refresh_at_ms: float
 
 
 class _Sums:
-    """Means, variances and most blocks at each horizon."""
+    """Means, variances and upper bounds in blocks at each horizon."""
 
     def __init__(self, block_tokens: int) -> None:
         self._block_tokens: typing.Final = block_tokens
         self._means = [0.0] * len(HORIZONS)
         self._variances = [0.0] * len(HORIZONS)
-        self._most = [0] * len(HORIZONS)
+        self._bounds = [0] * len(HORIZONS)
 
     def copy(self) -> "_Sums":
-        made = _Sums(self._block_tokens)
-        made._means = self._means.copy()
-        made._variances = self._variances.copy()
-        made._most = self._most.copy()
-        return made
-
-    def add(self, row: _Summand, sign: int = 1) -> None:
-        """Add what a stream holds at each horizon that it may reach.
-
-        This loop is most of a forecast's time, so it has names for what it
-        reads and calls nothing but the logarithm: reading survival by
-        calls would take twice as long.
+        copied = _Sums(self._block_tokens)
+        copied._means = self._means.copy()
+        copied._variances = self._variances.copy()
+        copied._bounds = self._bounds.copy()
+        return copied
+
+    def add(self, term: _Term, sign: int = 1) -> None:
+        """Add a stream's blocks at each horizon that it may reach.
+
+        This loop takes most of a forecast's time, so it uses local names
+        and calls only the logarithm: calling the function that interpolates
+        survival would double the time.
         """
-        means, variances, most = self._means, self._variances, self._most
-        table, block_tokens = row.table, self._block_tokens
-        tokens = row.stream.tokens
-        held = row.stream.prompt_tokens + tokens + 1
-        limit = row.stream.max_tokens or math.inf
-        reached = length_distributions.read_survival(
-            table, length_distributions.find_position(tokens)
+        means, variances, bounds = self._means, self._variances, self._bounds
+        survival, block_tokens = term.survival, self._block_tokens
+        tokens = term.stream.tokens
+        held = term.stream.prompt_tokens + tokens + 1
+        limit = term.stream.max_tokens or math.inf
+        reached = length_distributions.interpolate_survival(
+            survival, length_distributions.find_position(tokens)
         )
-        share = 1 / max(reached, _LEAST_SURVIVAL)
-        # Where the table knows of no stream this long, its end is near but
-        # has not come: what is there now counts.
+        scale = 1 / max(reached, _MIN_SURVIVAL)
+        # A stream longer than all observed ones is about to end but has not
+        # ended, so its current blocks count in full.
         blocks = sign * -(held // -block_tokens)
         means[0] += blocks
-        most[0] += blocks
-        for place, horizon in _LATER_HORIZONS:
+        bounds[0] += blocks
+        for index, horizon in _LATER_HORIZONS:
             length = tokens + horizon
             if length > limit:
                 return
-            position = _CLASSES_PER_DOUBLING * math.log2(length + 1)
+            position = _BINS_PER_DOUBLING * math.log2(length + 1)
             if position > _LAST_POSITION:
                 return
-            step = int(position)
-            low = table[step]
-            low += (position - step) * (table[step + 1] - low)
-            chance = low * share
-            if chance < _LEAST_CHANCE:
+            bin_index = int(position)
+            low = survival[bin_index]
+            low += (position - bin_index) * (survival[bin_index + 1] - low)
+            probability = low * scale
+            if probability < _MIN_PROBABILITY:
                 return
             blocks = -((held + horizon) // -block_tokens)
-            mean = sign * chance * blocks
-            means[place] += mean
-            variances[place] += mean * blocks * (1 - chance)
-            most[place] += sign * blocks
+            mean = sign * probability * blocks
+            means[index] += mean
+            variances[index] += mean * blocks * (1 - probability)
+            bounds[index] += sign * blocks
 
     def find_peak(self, deviations: float) -> float:
         return max(
-            min(mean + deviations * math.sqrt(max(variance, 0.0)), most)
-            for mean, variance, most in zip(
-                self._means, self._variances, self._most, strict=True
+            min(mean + deviations * math.sqrt(max(variance, 0.0)), bound)
+            for mean, variance, bound in zip(
+                self._means, self._variances, self._bounds, strict=True
             )
         )
 
 
 class MemoryForecast:
-    """The forecast of a running set, which streams join and leave."""
+    """The forecast of a running set that streams join and leave."""
 
     def __init__(self, block_tokens: int) -> None:
-        """Forecast blocks of ``block_tokens`` tokens; no stream runs yet."""
+        """Start without streams; a block holds ``block_tokens`` tokens."""
         self.block_tokens: typing.Final = block_tokens
         self._sums = _Sums(block_tokens)
-        # In the order in which they are to be renewed.
-        self._summands: typing.Final[dict[abc.Hashable, _Summand]] = {}
+        # Ordered by the time of their next refresh.
+        self._terms: typing.Final[dict[abc.Hashable, _Term]] = {}
 
     def find_peak(self, deviations: float) -> float:
-        """Return the peak in blocks, at ``deviations`` over the mean."""
+        """Return the peak in blocks, ``deviations`` above the mean."""
         return self._sums.find_peak(deviations)
 
     def find_peak_with(self, stream: StreamMemory, deviations: float) -> float:
         """Return the peak in blocks if ``stream`` started now."""
         sums = self._sums.copy()
-        sums.add(_Summand(stream, stream.distribution.read_table(), 0.0))
+        sums.add(_Term(stream, stream.distribution.get_survival(), 0.0))
         return sums.find_peak(deviations)
 
     def add(
-        self, key: abc.Hashable, stream: StreamMemory, renew_at_ms: float
+        self, key: abc.Hashable, stream: StreamMemory, refresh_at_ms: float
     ) -> None:
-        """Count a stream, as it is now."""
-        table = stream.distribution.read_table()
-        row = _Summand(stream, table, renew_at_ms)
-        self._summands[key] = row
-        self._sums.add(row)
+        """Add a stream in its current state."""
+        survival = stream.distribution.get_survival()
+        term = _Term(stream, survival, refresh_at_ms)
+        self._terms[key] = term
+        self._sums.add(term)
 
     def remove(self, key: abc.Hashable) -> None:
-        """Take out a stream that has ended, as it was counted.
+        """Remove a stream with exactly the values with which it was added.
 
-        Its table may have changed since; taking out by the new one would
-        leave a rest of it behind, as memory that nobody holds.
+        Its distribution may have changed since. Subtracting by the new one
+        would leave a remainder in the sums, as memory that nobody holds.
         """
-        row = self._summands.pop(key, None)
-        if row is None:
+        term = self._terms.pop(key, None)
+        if term is None:
             return
-        self._sums.add(row, -1)
-        if not self._summands:
+        self._sums.add(term, -1)
+        if not self._terms:
             self._sums = _Sums(self.block_tokens)
 
     def list_due(self, now_ms: float) -> abc.Sequence[abc.Hashable]:
-        """Return the streams to renew now, a few at most."""
-        first = itertools.islice(self._summands.items(), _RENEWED_AT_ONCE)
-        return [key for key, row in first if row.renew_at_ms <= now_ms]
+        """Return a limited number of streams to recompute now."""
+        first = itertools.islice(self._terms.items(), _MAX_REFRESHED)
+        return [key for key, term in first if term.refresh_at_ms <= now_ms]
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
@@ -1,10 +1,10 @@
-"""Our policy: memory forecast at a quantile, and a limit by pace.
+"""Predictive admission: a quantile forecast of memory and a pace limit.
 
-A call may start when the forecast peak of all running streams with it stays
-under the engine's memory, when the pace allows one more, and when nothing
-tells that the engine is short of memory right now. The service's objective
-says how sure the forecast must be and how much slower than the empty engine
-the pace may get.
+A call may start if the forecast peak memory of all running streams including
+it fits into the engine's memory, if the pace allows one more stream, and if
+nothing shows that the engine is short of memory right now. The service's
+objective sets how certain the forecast must be, and how much slower than the
+nearly empty engine the pace may become.
 """
 
 from collections import abc
@@ -20,29 +20,38 @@
 
 __all__ = ("PredictivePolicy",)
 
-_BLIND_RUNNING: typing.Final = 4
-_NEARLY_OUT: typing.Final = 0.97
-_RENEWED_EACH_MS: typing.Final = 100.0
-_WINDOW_MS: typing.Final = 500.0
-_MOST_CAUTION: typing.Final = 3.0
-_UNLEARNED_DEVIATIONS: typing.Final = 1.0
-_LEARNING_STREAMS: typing.Final = 32
-_CAUTION_KEPT: typing.Final = 0.99
+_MAX_RUNNING_UNREPORTED: typing.Final = 4
+"""Maximum number of running calls before the engine's first report."""
+_FULL_SHARE: typing.Final = 0.97
+"""Share of blocks in use above which no call starts."""
+_REFRESH_INTERVAL_MS: typing.Final = 100.0
+"""Time after which a stream's part of the forecast is recomputed, ms."""
+_PACE_WINDOW_MS: typing.Final = 500.0
+"""Minimum time between two updates of the pace limit, milliseconds."""
+_MAX_EXTRA_DEVIATIONS: typing.Final = 3.0
+"""Maximum of the standard deviations that preemptions add."""
+_UNTRAINED_DEVIATIONS: typing.Final = 1.0
+"""Standard deviations added before any answer has ended."""
+_TRAINING_STREAMS: typing.Final = 32
+"""Number of ended answers at which a quarter of that remains."""
+_EXTRA_DECAY: typing.Final = 0.99
+"""Factor of the deviations that preemptions added, for each load report."""
 _SHORTAGE_MS: typing.Final = 2000.0
+"""Time in which further preemptions count as the same shortage, ms."""
 
 
 class _Objective(typing.NamedTuple):
-    """What a service's objective makes of the limits."""
+    """Limits that a service's objective sets."""
 
     deviations: float
-    """Standard deviations over the mean that the memory must hold.
+    """Standard deviations above the mean for which memory must suffice.
 
-    Caution that grows with each preemption and fades comes on top.
+    The deviations added after preemptions, which decay, come on top.
     """
-    caution_step: float
-    """Standard deviations that a preemption adds."""
+    preemption_deviations: float
+    """Standard deviations that a shortage of memory adds."""
     pace_factor: float
-    """How much slower than the empty engine tokens may come."""
+    """Largest ratio of the time between tokens to that of the empty engine."""
 
 
 _OBJECTIVES: typing.Final[abc.Mapping[str, _Objective]] = {
@@ -53,7 +62,7 @@
 
 
 class PredictivePolicy(admission_policy.AdmissionPolicy):
-    """Admits by forecast memory and measured pace."""
+    """Admits calls by forecast memory and measured pace."""
 
     def __init__(self, service: applied_service.AppliedService) -> None:
         """Follow the objective that ``service`` declares."""
@@ -61,12 +70,12 @@
         self._load: typing.Optional[ports.EngineLoad] = None
         self._ledger: typing.Final = memory_ledger.MemoryLedger()
         self._meter: typing.Final = pace_limits.PaceMeter()
-        self._pace: typing.Final = pace_limits.PaceLimit()
-        self._window_ms = 0.0
+        self._pace_limit: typing.Final = pace_limits.PaceLimit()
+        self._pace_updated_ms = 0.0
         self._forecast: typing.Optional[memory_forecasts.MemoryForecast] = None
         self._preempted = 0
-        self._stuck = False
-        self._caution = 0.0
+        self._has_waiting_call = False
+        self._extra_deviations = 0.0
         self._shortage_until_ms = 0.0
 
     def _find_objective(self) -> _Objective:
@@ -78,20 +87,23 @@
         estimate: admission_policy.CallEstimate,
         running: abc.Collection[admission_policy.Slot],
     ) -> bool:
-        """Tell whether memory and pace allow one more call."""
+        """Return whether memory and pace allow one more call."""
         load = self._load
         if load is None:
-            return len(running) < _BLIND_RUNNING
-        if self._is_nearly_out(load):
+            return len(running) < _MAX_RUNNING_UNREPORTED
+        if self._is_full(load):
             return False
         if not running:
             return True
-        if self._preempted or self._stuck:
+        if self._preempted or self._has_waiting_call:
             return False
-        if not self._pace.allows(len(running), is_short=estimate.is_short):
+        if not self._pace_limit.allows(
+            len(running), is_short=estimate.is_short
+        ):
             return False
-        peak = self._read_forecast(running, load).find_peak_with(
-            self._describe(estimate, 0), self._find_deviations(estimate)
+        peak = self._refresh_forecast(running, load).find_peak_with(
+            self._make_stream_memory(estimate, 0),
+            self._find_deviations(estimate),
         )
         return peak + self._ledger.foreign_blocks <= load.blocks
 
@@ -100,22 +112,22 @@
     ) -> float:
         """Return the standard deviations to keep free for one more call.
 
-        While few answers have been seen to end, the forecast itself is a
-        guess: a first burst of calls would be admitted on it and preempt
-        one another. So more is kept free until lengths are learned.
+        Until enough answers have ended, the forecast relies on its prior: a
+        first burst of calls admitted by it would preempt one another. So
+        more memory is kept free until lengths are learned.
         """
-        known = estimate.length.distribution.count_known()
-        unlearned = _LEARNING_STREAMS / (_LEARNING_STREAMS + known)
+        ended = estimate.length.distribution.count_ended()
+        untrained = _TRAINING_STREAMS / (_TRAINING_STREAMS + ended)
         return (
             self._find_objective().deviations
-            + self._caution
-            + _UNLEARNED_DEVIATIONS * unlearned**2
+            + self._extra_deviations
+            + _UNTRAINED_DEVIATIONS * untrained**2
         )
 
-    def _is_nearly_out(self, load: ports.EngineLoad) -> bool:
-        return self._ledger.estimate_used() >= _NEARLY_OUT * load.blocks
+    def _is_full(self, load: ports.EngineLoad) -> bool:
+        return self._ledger.estimate_used() >= _FULL_SHARE * load.blocks
 
-    def _describe(
+    def _make_stream_memory(
         self, estimate: admission_policy.CallEstimate, tokens: int
     ) -> memory_forecasts.StreamMemory:
         share = self._ledger.prompt_share
@@ -126,16 +138,16 @@
             estimate.max_tokens,
         )
 
-    def _read_forecast(
+    def _refresh_forecast(
         self,
         running: abc.Collection[admission_policy.Slot],
         load: ports.EngineLoad,
     ) -> memory_forecasts.MemoryForecast:
-        """Return the forecast, with what the oldest streams brought since.
+        """Return the forecast after recomputing its oldest parts.
 
-        Starts and ends are in it as they come. What a stream has brought
-        since it was last read makes its rest a little longer than counted,
-        so all are read again in turn.
+        Starts and ends change the forecast at once. The tokens that a stream
+        has generated since its part was computed make its remaining length a
+        little longer than counted, so all parts are recomputed in turn.
         """
         now_ms = deadlines.read_clock_ms()
         forecast = self._forecast
@@ -157,11 +169,11 @@
         slot: admission_policy.Slot,
         now_ms: float,
     ) -> None:
-        stream = self._describe(slot.estimate, slot.tokens)
-        forecast.add(slot, stream, now_ms + _RENEWED_EACH_MS)
+        stream = self._make_stream_memory(slot.estimate, slot.tokens)
+        forecast.add(slot, stream, now_ms + _REFRESH_INTERVAL_MS)
 
     def note_start(self, slot: admission_policy.Slot) -> None:
-        """Add the call to forecast and ledger."""
+        """Add the call to the ledger and the forecast."""
         self._ledger.add(slot, slot.started_ms)
         if self._forecast is not None:
             self._add_to(self._forecast, slot, slot.started_ms)
@@ -169,23 +181,23 @@
     def note_token(
         self, slot: admission_policy.Slot, gap_ms: typing.Optional[float]
     ) -> None:
-        """Count the token's block and its gap."""
+        """Count the token's block and the time since the last token."""
         now_ms = deadlines.read_clock_ms()
         if slot.preempted:
             self._preempted -= 1
             self._ledger.add(slot, now_ms)
         else:
-            self._ledger.grow(slot, now_ms)
+            self._ledger.add_token(slot, now_ms)
         if gap_ms is not None:
             self._meter.note_gap(gap_ms)
 
     def note_preemption(self, slot: admission_policy.Slot) -> None:
-        """Grow more cautious: the forecast was too low.
+        """Keep more memory free, since the forecast was too low.
 
-        An engine that is out of memory preempts several streams one after
+        An engine that runs out of memory preempts several streams one after
         another. Counted one by one they would make one low forecast look
-        like many, and calls would wait before memory that stays empty for
-        long after; so those of a short while count once.
+        like many, and calls would wait although memory stays free long
+        after. So preemptions within a short time count once.
         """
         now_ms = deadlines.read_clock_ms()
         self._preempted += 1
@@ -193,11 +205,14 @@
         if now_ms < self._shortage_until_ms:
             return
         self._shortage_until_ms = now_ms + _SHORTAGE_MS
-        more = self._caution + self._find_objective().caution_step
-        self._caution = min(_MOST_CAUTION, more)
+        extra = (
+            self._extra_deviations
+            + self._find_objective().preemption_deviations
+        )
+        self._extra_deviations = min(_MAX_EXTRA_DEVIATIONS, extra)
 
     def note_release(self, slot: admission_policy.Slot) -> None:
-        """Take the call out of ledger and forecast."""
+        """Remove the call from the ledger and the forecast."""
         if slot.preempted:
             self._preempted -= 1
         self._ledger.remove(slot, deadlines.read_clock_ms())
@@ -209,29 +224,29 @@
         load: ports.EngineLoad,
         running: abc.Collection[admission_policy.Slot],
     ) -> None:
-        """Correct the ledger and follow the pace."""
+        """Correct the ledger and update the pace limit."""
         now_ms = deadlines.read_clock_ms()
         last = self._load
         if last is not None and _is_changed(last, load):
-            self._pace.forget()
+            self._pace_limit.reset()
             self._meter.clear()
         self._load = load
-        all_admitted = not load.waiting and not self._preempted
-        self._ledger.take_report(load, now_ms, all_admitted=all_admitted)
-        self._stuck = load.waiting > 0 and any(
+        none_waiting = not load.waiting and not self._preempted
+        self._ledger.apply_report(load, now_ms, none_waiting=none_waiting)
+        self._has_waiting_call = load.waiting > 0 and any(
             slot.tokens == 0 and slot.started_ms < now_ms - load.age_ms
             for slot in running
         )
-        self._caution *= _CAUTION_KEPT
-        if now_ms - self._window_ms >= _WINDOW_MS:
-            self._follow_pace(len(running), now_ms)
+        self._extra_deviations *= _EXTRA_DECAY
+        if now_ms - self._pace_updated_ms >= _PACE_WINDOW_MS:
+            self._update_pace_limit(len(running), now_ms)
 
-    def _follow_pace(self, running: int, now_ms: float) -> None:
+    def _update_pace_limit(self, running: int, now_ms: float) -> None:
         pace = self._meter.close_window()
         if pace is not None:
-            self._window_ms = now_ms
+            self._pace_updated_ms = now_ms
             factor = self._find_objective().pace_factor
-            self._pace.update(pace, running, factor)
+            self._pace_limit.update(pace, running, factor)
 
     def predict_memory(
         self, running: abc.Collection[admission_policy.Slot]
@@ -240,12 +255,13 @@
         load = self._load
         if load is None or not load.blocks:
             return None
-        deviations = self._find_objective().deviations + self._caution
-        peak = self._read_forecast(running, load).find_peak(deviations)
+        deviations = self._find_objective().deviations + self._extra_deviations
+        peak = self._refresh_forecast(running, load).find_peak(deviations)
         return (peak + self._ledger.foreign_blocks) / load.blocks
 
 
 def _is_changed(last: ports.EngineLoad, load: ports.EngineLoad) -> bool:
+    """Return whether the engine was restarted or holds another model."""
     return (last.boot, last.model, last.adapter, last.version) != (
         load.boot,
         load.model,
