--- a/packages/gentianpoint-agent/src/gentianpoint_agent/applied_service.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/applied_service.py
@@ -1,4 +1,4 @@
-"""The service resource in force at this agent."""
+"""The service resource that this agent has applied."""
 
 import typing
 
@@ -18,6 +18,7 @@
     "kind": "model",
     "customers": [],
 }
+"""Specification of a service that is not declared."""
 
 
 def _decode(service: bytes) -> resources.ServiceSpec:
@@ -27,11 +28,11 @@
 
 
 class AppliedService:
-    """What entries told about the service, of which the newest counts.
+    """The newest service resource among those that entries sent.
 
-    Several entries tell, some later than others. An entry that was paused
-    wakes up with an old resource; an agent that took it would let an
-    accepted change revert. So only a higher configuration offset counts.
+    Several entries send it, some later than others. An entry that was paused
+    resumes with an old resource, and an agent that applied it would revert
+    an accepted change. So only a higher configuration offset is applied.
     """
 
     def __init__(
@@ -39,9 +40,9 @@
         name: str,
         unload_at: deadlines.Deadline = deadlines.NO_DEADLINE,
     ) -> None:
-        """Start with nothing declared for the service ``name``.
+        """Start without a declaration of the service ``name``.
 
-        When it is still undeclared at ``unload_at`` its engine is to be
+        If it is still undeclared at ``unload_at``, its engine is to be
         unloaded.
         """
         self.name: typing.Final = name
@@ -53,26 +54,26 @@
         self._unload_at = unload_at
 
     def get_desired_state(self) -> desired_states.DesiredState:
-        """Return what the service's engines are to hold.
+        """Return the desired state of the service's engines.
 
-        A service that was deleted is to be unloaded at once. One that was
-        not declared since this process started may have been deleted
-        before, or may be declared soon: its engine is left for a while.
+        A deleted service is to be unloaded at once. One that has not been
+        declared since this process started may have been deleted earlier or
+        may be declared soon, so its engine is left as it is for a while.
         """
-        wanted = desired_states.make_desired_state(self.spec)
+        desired = desired_states.make_desired_state(self.spec)
         if self.offset and not self.revision:
-            return wanted._replace(unloaded=self._unload_at.is_past())
-        return wanted
+            return desired._replace(unloaded=self._unload_at.is_past())
+        return desired
 
     def apply(self, message: messages.Configure) -> bool:
-        """Take the resource if it is newer; tell whether it was.
+        """Apply the resource if it is newer; return whether it was.
 
-        Raises :class:`msgspec.DecodeError`, and changes nothing, when the
-        resource is none.
+        Raises :class:`msgspec.DecodeError`, and changes nothing, if the
+        resource can't be decoded.
         """
         if message["offset"] <= self.offset:
             if message["offset"] == self.offset:
-                # Targets come and go without a change of the configuration.
+                # The number of targets changes without a new configuration.
                 self.replicas = message["replicas"]
             return False
         spec = self.spec
@@ -90,13 +91,13 @@
                 revision=self.revision,
                 service=self.name,
             )
-            self._note_ignored(message["service"])
+            self._log_ignored_fields(message["service"])
             self._changed.set()
             self._changed = trio.Event()
         return True
 
-    def _note_ignored(self, service: bytes) -> None:
-        """Tell which fields of the resource this version does not read."""
+    def _log_ignored_fields(self, service: bytes) -> None:
+        """Log the fields of the resource that this version doesn't use."""
         for field in specifications.list_ignored_fields(
             specifications.SERVICE, service or b"{}"
         ):
@@ -108,5 +109,5 @@
             )
 
     async def wait_changed(self) -> None:
-        """Wait until another revision is in force."""
+        """Wait until another revision has been applied."""
         await self._changed.wait()
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/cached_prefixes.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/cached_prefixes.py
@@ -1,9 +1,9 @@
-"""Which prompt prefixes the engine's cache is believed to hold.
+"""Tracks the prompt prefixes that the engine's cache holds.
 
-The engine publishes events of its cache, late and with gaps. What a lost
-event said can't be known: it may have removed anything. So a gap empties the
-belief, and it grows again with the events that follow. A wrong belief only
-costs a little reuse, never an answer.
+The engine publishes events of its cache, late and with gaps. The content of a
+lost event can't be known: it may have removed any prefix. So a gap clears
+the set, which grows again with the following events. A wrong entry only
+reduces reuse of the cache and never affects an answer.
 """
 
 import collections
@@ -17,77 +17,81 @@
 
 __all__ = ("CachedPrefixes", "watch_cache_events")
 
-_MOST_BELIEVED: typing.Final = 4096
+_MAX_PREFIXES: typing.Final = 4096
+"""Maximum number of prefixes tracked."""
 _WAIT_MS: typing.Final = 2000
+"""Time that the engine may wait for events before it answers, ms."""
 _PAUSE_S: typing.Final = 0.2
+"""Time between two requests for events, seconds."""
 
 
 class CachedPrefixes:
-    """Digests of prefixes, the most recent first, bounded in number."""
+    """Digests of cached prefixes, most recent first, bounded in number."""
 
     def __init__(self) -> None:
-        """Believe nothing."""
-        self._held: typing.Final[collections.OrderedDict[int, None]] = (
+        """Start empty."""
+        self._digests: typing.Final[collections.OrderedDict[int, None]] = (
             collections.OrderedDict()
         )
-        self._last = 0
+        self._last_sequence = 0
 
     def get_last_sequence(self) -> int:
-        """Return the number of the last event taken."""
-        return self._last
+        """Return the sequence number of the last applied event."""
+        return self._last_sequence
 
-    def list_recent(self, most: int) -> abc.Sequence[int]:
-        """Return up to ``most`` digests, the most recent first."""
-        return tuple(itertools.islice(reversed(self._held), most))
+    def list_recent(self, limit: int) -> abc.Sequence[int]:
+        """Return up to ``limit`` digests, the most recent first."""
+        return tuple(itertools.islice(reversed(self._digests), limit))
 
     def clear(self) -> None:
-        """Believe nothing, and take events from the first on."""
-        self._held.clear()
-        self._last = 0
+        """Drop all prefixes, and expect events from the first one on."""
+        self._digests.clear()
+        self._last_sequence = 0
 
     def apply(self, events: ports.CacheEvents) -> None:
-        """Follow what the engine published after the last event taken."""
-        if events.last < self._last:
-            # The engine counts anew, so it was restarted with an empty cache.
+        """Apply what the engine published after the last applied event."""
+        if events.last < self._last_sequence:
+            # The numbers start over: the engine restarted, its cache is
+            # empty.
             self.clear()
         for event in events.events:
-            if event.sequence <= self._last:
+            if event.sequence <= self._last_sequence:
                 continue
-            if event.sequence != self._last + 1:
-                self._held.clear()
-            self._take_event(event)
-        if events.last > self._last:
-            # Events at the end are missing and will not come.
-            self._held.clear()
-            self._last = events.last
-
-    def _take_event(self, event: ports.CacheEvent) -> None:
-        self._last = event.sequence
+            if event.sequence != self._last_sequence + 1:
+                self._digests.clear()
+            self._apply_event(event)
+        if events.last > self._last_sequence:
+            # The last events are missing and won't be sent again.
+            self._digests.clear()
+            self._last_sequence = events.last
+
+    def _apply_event(self, event: ports.CacheEvent) -> None:
+        self._last_sequence = event.sequence
         for digest in event.removed:
-            self._held.pop(digest, None)
+            self._digests.pop(digest, None)
         for digest in event.added:
-            self._held[digest] = None
-            self._held.move_to_end(digest)
-        while len(self._held) > _MOST_BELIEVED:
-            self._held.popitem(last=False)
+            self._digests[digest] = None
+            self._digests.move_to_end(digest)
+        while len(self._digests) > _MAX_PREFIXES:
+            self._digests.popitem(last=False)
 
 
 async def watch_cache_events(
-    engine: ports.Engine, belief: CachedPrefixes
+    engine: ports.Engine, prefixes: CachedPrefixes
 ) -> None:
-    """Follow the engine's cache for ever."""
+    """Apply the engine's cache events until cancelled."""
     while True:
         try:
             events = await engine.read_cache_events(
-                belief.get_last_sequence(), _WAIT_MS
+                prefixes.get_last_sequence(), _WAIT_MS
             )
         except ports.PortError:
-            # The watch of the load tells of an engine that is away. What was
-            # held may be gone when it comes back.
-            belief.clear()
+            # The load watch reports that the engine is unavailable. Its
+            # cache may be empty when it comes back.
+            prefixes.clear()
             await trio.sleep(_PAUSE_S)
             continue
-        belief.apply(events)
-        # A busy engine always has a new event; one reading for each would
+        prefixes.apply(events)
+        # A busy engine always has a new event. A request for each one would
         # cost more than the prefixes save.
         await trio.sleep(_PAUSE_S)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/desired_states.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/desired_states.py
@@ -1,4 +1,4 @@
-"""What an engine shall hold by its service's resource, and what is amiss."""
+"""The desired state of an engine, and the next order that leads to it."""
 
 import typing
 
@@ -15,16 +15,20 @@
 )
 
 LOAD: typing.Final = "load"
+"""Order to load a version of a model or an adapter."""
 UNLOAD: typing.Final = "unload"
+"""Order to unload everything."""
 ROLE: typing.Final = "role"
+"""Order to take a role."""
 _UNLOADED: typing.Final = "unloaded"
+"""State of a service whose engines hold nothing."""
 
 
 class DesiredState(typing.NamedTuple):
-    """What an engine shall hold."""
+    """What an engine is to hold."""
 
     unloaded: bool
-    """True when it shall hold nothing."""
+    """True if it is to hold nothing."""
     model: str
     """Model; empty for whatever is loaded."""
     adapter: str
@@ -36,7 +40,7 @@
 
 
 def make_desired_state(spec: resources.ServiceSpec) -> DesiredState:
-    """Return what ``spec`` wants."""
+    """Return the desired state that ``spec`` declares."""
     return DesiredState(
         spec.get("state", "") == _UNLOADED,
         spec.get("model", ""),
@@ -46,17 +50,17 @@
     )
 
 
-def choose_order(wanted: DesiredState, load: ports.EngineLoad) -> str:
-    """Return the next order that leads to ``wanted``; empty for none.
+def choose_order(desired: DesiredState, load: ports.EngineLoad) -> str:
+    """Return the next order towards ``desired``; empty if none is needed.
 
-    What is loaded comes before the role: an engine that took the role with
-    the old model would answer callers of the new role with it.
+    Loading precedes the role: an engine that took the role with the old
+    model would answer callers of the new role with that model.
     """
-    if wanted.unloaded:
+    if desired.unloaded:
         return UNLOAD if load.model or load.adapter else ""
     held = (load.model, load.adapter, load.version)
-    if wanted.model and held != wanted[1:4]:
+    if desired.model and held != desired[1:4]:
         return LOAD
-    if wanted.role and wanted.role != load.role:
+    if desired.role and desired.role != load.role:
         return ROLE
     return ""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
@@ -1,10 +1,10 @@
-"""Tells entries of the engine that an agent finds at its own start.
+"""Announces the engine that an agent finds at its start to the entries.
 
-The load it answers: engines are taken away every few seconds while the log is
-away, so the list names none of those that come instead, and the known ones
-fill and leave one by one. Beside a list at hand what an agent tells brings an
-engine's use forward by some tenths of a second only; entries that it does not
-reach find the engine on the list.
+While the log is unavailable, the host list names none of the engines that
+replace others every few seconds, and the known ones fill up and leave one by
+one. With the list available, an announcement brings an engine into use only
+some tenths of a second earlier. Entries that it doesn't reach find the engine
+on the list.
 """
 
 from collections import abc
@@ -20,50 +20,53 @@
 
 __all__ = ("EngineAnnouncer", "EngineLocation")
 
-_ASK_S: typing.Final = 0.25
-"""Pause before an engine that is not well yet is asked for its name again."""
-_ASKS: typing.Final = 6
-"""Times that it is asked; after that the list names it. Each of them may be
-charged for."""
-_TELLS: typing.Final = 3
-"""Times that an entry is tried: the list names the engine soon."""
-_TELL_AGAIN_S: typing.Final = 0.3
-_TAKEN_S: typing.Final = 1.0
-"""Time in which an entry that takes the message closes the connection."""
+_IDENTITY_RETRY_S: typing.Final = 0.25
+"""Time before an engine that isn't healthy yet is asked for its identifier
+again, in seconds."""
+_IDENTITY_ATTEMPTS: typing.Final = 6
+"""Number of times that it is asked, since each request may be charged for;
+after that the list names the engine."""
+_SEND_ATTEMPTS: typing.Final = 3
+"""Number of times that an entry is tried: the list soon names the engine."""
+_SEND_RETRY_S: typing.Final = 0.3
+"""Time between two attempts to reach an entry, seconds."""
+_CONFIRM_TIMEOUT_S: typing.Final = 1.0
+"""Time in which an entry that received the message closes the connection, in
+seconds."""
 
 
 class EngineLocation(typing.NamedTuple):
-    """Where an engine is, as its agent's settings say."""
+    """Where an engine is, according to its agent's settings."""
 
     service: str
     """Service that it belongs to."""
     address: str
-    """Where it listens, IP:PORT."""
+    """Address on which it listens, IP:PORT."""
     data_centre: str
     """Its data centre."""
 
 
 class EngineAnnouncer:
-    """Tells some entries, which pass it on to the others."""
+    """Announces an engine to some entries, which pass it on to the others."""
 
     def __init__(
         self,
-        place: EngineLocation,
+        location: EngineLocation,
         source: ports.EngineStatusSource,
         entries: abc.Sequence[str],
     ) -> None:
-        """Tell ``entries``, addresses that may be old, of what is there."""
-        self._place: typing.Final = place
+        """Announce to ``entries``, addresses that may be out of date."""
+        self._location: typing.Final = location
         self._source: typing.Final = source
         self._entries: typing.Final = tuple(entries)
         self._has_started: typing.Final = trio.Event()
         self._born_ms = 0
 
     def note_start(self, born_ms: int) -> None:
-        """Learn that the engine answers; 0 for a start at a time not known.
+        """Record that the engine answers; 0 if its start time is unknown.
 
-        Only the first one counts. Where an engine is gone and another one
-        answers at its address, that may belong to another service, which
+        Only the first call counts. If an engine is gone and another one
+        answers at its address, that one may belong to another service, which
         only the list tells.
         """
         if not self._has_started.is_set():
@@ -71,26 +74,26 @@
             self._has_started.set()
 
     async def run(self) -> None:
-        """Announce the engine that this agent found at its own start."""
+        """Announce the engine that this agent finds at its own start."""
         await self._has_started.wait()
         target = await self._find_identity()
         if target:
             await self._announce(target, self._born_ms)
 
     async def _find_identity(self) -> str:
-        """Return the engine's identifier, empty if it gives none."""
-        for number in range(_ASKS):
+        """Return the engine's identifier; empty if it provides none."""
+        for number in range(_IDENTITY_ATTEMPTS):
             try:
                 return await self._source.read_identity()
             except ports.PortError as error:
-                if number == _ASKS - 1:
+                if number == _IDENTITY_ATTEMPTS - 1:
                     logs.log_event(
                         events.ENGINE_UNAVAILABLE,
                         step=error.step,
                         peer=error.peer,
                         reason=error.reason,
                     )
-            await trio.sleep(_ASK_S)
+            await trio.sleep(_IDENTITY_RETRY_S)
         return ""
 
     async def _announce(self, target: str, born_ms: int) -> None:
@@ -99,48 +102,51 @@
             "target": target,
             "born_ms": born_ms,
             "passed_on": False,
-            **self._place._asdict(),
+            **self._location._asdict(),
         }
-        taken: list[str] = []
+        reached: list[str] = []
         async with trio.open_nursery() as nursery:
             for address in self._entries:
-                nursery.start_soon(self._tell, address, message, taken)
+                nursery.start_soon(self._send, address, message, reached)
         logs.log_event(
-            events.ENGINE_ANNOUNCED, target=target, entries=len(taken)
+            events.ENGINE_ANNOUNCED, target=target, entries=len(reached)
         )
 
     @staticmethod
-    async def _tell(
+    async def _send(
         address: str,
         message: abc.Mapping[str, typing.Any],
-        taken: list[str],
+        reached: list[str],
     ) -> None:
-        for _ in range(_TELLS):
+        for _ in range(_SEND_ATTEMPTS):
             try:
                 async with peer_sockets.open_connection(address) as connection:
                     await connection.send(message)
                     await _wait_until_closed(connection)
-                    taken.append(address)
+                    reached.append(address)
                     return
             except peer_connections.PeerConnectionError as error:
-                # Seeds may be old; another entry passes the message on.
+                # The address may be out of date; another entry passes the
+                # message on.
                 peer_connections.log_loss(error)
-            await trio.sleep(_TELL_AGAIN_S)
+            await trio.sleep(_SEND_RETRY_S)
 
 
 async def _wait_until_closed(
     connection: peer_connections.PeerConnection,
 ) -> None:
-    """Return once the entry has closed the connection, having read it.
+    """Return once the entry has read the message and closed the connection.
 
-    A connection that is lost looks the same; the list names the engine then.
+    A lost connection can't be told from that; the list then names the engine.
     """
-    with trio.move_on_after(_TAKEN_S):
+    with trio.move_on_after(_CONFIRM_TIMEOUT_S):
         try:
             while True:
                 await connection.receive()
         except peer_connections.PeerConnectionError:
             return
     raise peer_connections.PeerConnectionError(
-        "announce the engine", connection.peer, "not taken in time"
+        "announce the engine",
+        connection.peer,
+        "the entry did not close the connection in time",
     )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
@@ -1,9 +1,10 @@
-"""Tells entries how the engine beside this agent is doing.
+"""Publishes the status of the engine beside this agent to entries.
 
-An engine's report is free and fresh only on its own host, and it shows first
-that the engine has been given notice. So the agent asks it often and passes
-on what has changed; entries send the requests themselves, and go on with
-older figures when the agent is away.
+On the engine's own host its reports cost nothing and are current, and they
+show first that the engine is about to be taken away. So the agent polls the
+engine often and sends changes to the entries. Entries send requests to the
+engine themselves, and use their last known status while the agent is
+unavailable.
 """
 
 from collections import abc
@@ -20,54 +21,54 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 
-__all__ = ("ASK_S", "EngineFeed")
+__all__ = ("POLL_INTERVAL_S", "EngineFeed")
 
-ASK_S: typing.Final = 0.1
-"""Pause between questions. An engine goes two seconds after its notice, and
-moving what it runs takes most of that."""
-_LONGEST_QUIET_S: typing.Final = 1.0
-"""Time after which an unchanged status is sent all the same, so that entries
-can tell a quiet engine from an agent that has stopped."""
-_FAILURES_TO_TELL: typing.Final = 2
-"""Failed questions in a row after which the engine counts as silent."""
+POLL_INTERVAL_S: typing.Final = 0.1
+"""Time between two status requests, in seconds. An engine goes two seconds
+after its notice, and moving its generations takes most of that."""
+_MAX_SEND_INTERVAL_S: typing.Final = 1.0
+"""Time after which an unchanged status is sent again, in seconds, so that
+entries can tell an unchanged engine from a stopped agent."""
+_FAILURES_UNTIL_SILENT: typing.Final = 2
+"""Number of failed requests in a row after which the engine is silent."""
 
 
 _RUN_BITS: typing.Final = 31
-"""Size of the number that tells runs of an agent apart."""
+"""Size of the random number that identifies a run of an agent, in bits."""
 
 
 class EngineFeed:
-    """Asks one engine, and keeps entries up to date."""
+    """Polls one engine, and sends its status to connected entries."""
 
     def __init__(
         self,
         source: ports.EngineStatusSource,
         note_start: abc.Callable[[int], None],
     ) -> None:
-        """Ask ``source``, and tell ``note_start`` once it answers.
+        """Poll ``source``, and call ``note_start`` once it answers.
 
-        It is given the Unix time of the engine's start in milliseconds, or 0
-        where that is not said.
+        The argument of ``note_start`` is the engine's start as a Unix time
+        in milliseconds, or 0 if it is unknown.
         """
         self._source: typing.Final = source
         self._note_start: typing.Final = note_start
         self._status: typing.Optional[ports.EngineStatus] = None
         self._is_silent = False
-        self._asked_at = 0.0
+        self._polled_at = 0.0
         self._run: typing.Final = random.getrandbits(_RUN_BITS)
         self._number = 0
         self._changed = trio.Event()
         self._turns: typing.Final = move_turns.MoveTurns()
 
     async def watch(self) -> None:
-        """Ask the engine for ever."""
+        """Poll the engine until cancelled."""
         failures = 0
         while True:
             try:
                 status = await self._source.read_status()
             except ports.PortError as error:
                 failures += 1
-                if failures == _FAILURES_TO_TELL:
+                if failures == _FAILURES_UNTIL_SILENT:
                     logs.log_event(
                         events.ENGINE_UNAVAILABLE,
                         step=error.step,
@@ -76,14 +77,14 @@
                     )
                     self._is_silent = True
                     self._number += 1
-                    self._tell()
+                    self._notify()
             else:
                 failures = 0
-                self._take_status(status)
+                self._update_status(status)
             self._turns.grant_next()
-            await trio.sleep(ASK_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
-    def _take_status(self, status: ports.EngineStatus) -> None:
+    def _update_status(self, status: ports.EngineStatus) -> None:
         was_leaving = self._status is not None and self._status.is_leaving
         if self._status is None and not status.is_leaving:
             self._note_start(status.born_ms)
@@ -95,40 +96,40 @@
         self._status = status
         self._is_silent = False
         self._number += 1
-        self._asked_at = trio.current_time()
+        self._polled_at = trio.current_time()
         if is_changed:
-            self._tell()
+            self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
     async def serve_entry(
         self, connection: peer_connections.PeerConnection
     ) -> None:
-        """Serve one entry: send the status, and give out turns to move."""
+        """Serve one entry: send it the status, and grant it turns to move."""
         logs.log_event(events.CONNECTION_OPENED, peer=connection.peer)
-        given, turns = trio.open_memory_channel[str](math.inf)
+        granted, turns = trio.open_memory_channel[str](math.inf)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.keep_alive, lambda: True)
                 nursery.start_soon(self._send_changes, connection)
                 nursery.start_soon(_send_turns, connection, turns)
                 while True:
-                    self._take_message(await connection.receive(), given)
+                    self._handle_message(await connection.receive(), granted)
         finally:
-            self._turns.drop_entry(given)
+            self._turns.drop_entry(granted)
 
-    def _take_message(
+    def _handle_message(
         self,
         message: abc.Mapping[str, typing.Any],
-        given: "trio.MemorySendChannel[str]",
+        granted: "trio.MemorySendChannel[str]",
     ) -> None:
         match message["type"]:
             case "move_wanted":
                 self._turns.request_turn(
                     move_turns.MoveRequest(
-                        message["request"], message["tokens"], given
+                        message["request"], message["tokens"], granted
                     )
                 )
             case "move_done":
@@ -140,15 +141,15 @@
         while True:
             changed = self._changed
             if self._status is not None:
-                await connection.send(self._describe(self._status))
-            with trio.move_on_after(_LONGEST_QUIET_S):
+                await connection.send(self._make_message(self._status))
+            with trio.move_on_after(_MAX_SEND_INTERVAL_S):
                 await changed.wait()
 
-    def _describe(
+    def _make_message(
         self, status: ports.EngineStatus
     ) -> abc.Mapping[str, typing.Any]:
         leaves_in_ms = status.leaves_in_ms
-        age_ms = round((trio.current_time() - self._asked_at) * 1000)
+        age_ms = round((trio.current_time() - self._polled_at) * 1000)
         if leaves_in_ms is not None:
             leaves_in_ms = max(0, leaves_in_ms - age_ms)
         return {
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/lifecycle.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/lifecycle.py
@@ -1,7 +1,7 @@
-"""Whether the agent takes new work, and whether it shall stop.
+"""Whether the agent accepts new work, and whether it is to stop.
 
-An agent whose engine is taken away takes no new work, but stays until it is
-told to stop: what it holds can still be fetched.
+An agent whose engine is taken away accepts no new work, but runs until it is
+told to stop, since the generations that it holds can still be fetched.
 """
 
 from collections import abc
@@ -16,7 +16,7 @@
 
 
 class Lifecycle:
-    """Live until told to leave, then leaving for good."""
+    """Live at first, then leaving until the process stops."""
 
     def __init__(self) -> None:
         """Start live."""
@@ -25,11 +25,11 @@
         self._stopping: typing.Final = trio.Event()
 
     def is_leaving(self) -> bool:
-        """Tell whether new work is refused."""
+        """Return whether new work is refused."""
         return self._leaving.is_set()
 
     def start_leaving(self, reason: str) -> None:
-        """Refuse new work from now on; ``reason`` is for people."""
+        """Refuse new work from now on; ``reason`` is a text for people."""
         if not self._leaving.is_set():
             self.reason = reason
             logs.log_event(events.LEAVING_STARTED, reason=reason)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
@@ -1,11 +1,11 @@
-"""Who may move its generation away from the engine next.
+"""Decides whose generation may move away from the engine next.
 
-The load it answers: an engine gets notice while generations of several
-entries run on it. All of them start to copy at once, each copy waits on the
-engine's link behind all others, and each generation stands still for the
-whole queue between its stop and its last copy, or misses the engine's end.
-One at a time, each stands still only for its own last copy, and as many are
-moved. The smallest goes first, since that saves the most of them.
+An engine may announce its end while generations of several entries run on
+it. If all were copied at once, every copy would share the engine's link with
+all others, and each generation would pause from its stop until all copies
+are complete, or miss the engine's end. One at a time, each pauses only for
+its own last copy, and as many are moved in total. The smallest goes first,
+since that saves the most generations.
 """
 
 import typing
@@ -15,64 +15,64 @@
 __all__ = ("MoveRequest", "MoveTurns")
 
 _TURN_S: typing.Final = 1.5
-"""Time after which a turn that was not given back ends. Copying the memory of
-a usual generation takes a third of it, and the largest most of it; a second
-copy beside it would keep both from their end."""
+"""Time after which a turn that was not released ends, in seconds. Copying the
+memory of a typical generation takes a third of it, and of the largest one
+most of it; a second copy beside it would keep both from completing."""
 
 
 class MoveRequest(typing.NamedTuple):
-    """A generation that wants to move, or moves."""
+    """A generation that waits for its turn to move, or moves."""
 
     request: str
     """Identifier of its request."""
     tokens: int
-    """Its memory, in tokens."""
+    """Size of its memory, in tokens."""
     channel: "trio.MemorySendChannel[str]"
-    """Where its entry learns that it has the turn."""
+    """Channel on which its entry is told that it has the turn."""
 
 
 class MoveTurns:
-    """The turns at one engine."""
+    """Grants turns to move generations away from one engine."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Start with nothing waiting."""
         self._waiting: typing.Final[list[MoveRequest]] = []
         self._moving: typing.Optional[MoveRequest] = None
-        self._ends_at = 0.0
+        self._turn_ends_at = 0.0
 
-    def request_turn(self, turn: MoveRequest) -> None:
-        """Wait for the turn."""
-        self._waiting.append(turn)
+    def request_turn(self, move: MoveRequest) -> None:
+        """Add a request to those that wait."""
+        self._waiting.append(move)
         self.grant_next()
 
     def release_turn(self, request: str) -> None:
-        """End a turn, or the wait for it."""
+        """End a request's turn, or its wait for one."""
         if self._moving is not None and self._moving.request == request:
             self._moving = None
         self._waiting[:] = [
-            turn for turn in self._waiting if turn.request != request
+            move for move in self._waiting if move.request != request
         ]
         self.grant_next()
 
     def drop_entry(self, channel: "trio.MemorySendChannel[str]") -> None:
-        """Forget what an entry wanted whose connection is lost."""
+        """Remove all requests of an entry whose connection was lost."""
         self._waiting[:] = [
-            turn for turn in self._waiting if turn.channel is not channel
+            move for move in self._waiting if move.channel is not channel
         ]
         if self._moving is not None and self._moving.channel is channel:
             self._moving = None
         self.grant_next()
 
     def grant_next(self) -> None:
-        """Give the turn on, if it is free or overdue."""
+        """Grant the next turn if none is in use or it is overdue."""
         now = trio.current_time()
-        if self._moving is not None and now < self._ends_at:
+        if self._moving is not None and now < self._turn_ends_at:
             return
         self._moving = None
         if not self._waiting:
             return
-        turn = min(self._waiting, key=lambda item: item.tokens)
-        self._waiting.remove(turn)
-        self._moving = turn
-        self._ends_at = now + _TURN_S
-        turn.channel.send_nowait(turn.request)
+        move = min(self._waiting, key=lambda waiting: waiting.tokens)
+        self._waiting.remove(move)
+        self._moving = move
+        self._turn_ends_at = now + _TURN_S
+        move.channel.send_nowait(move.request)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/prompt_backlog.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/prompt_backlog.py
@@ -1,10 +1,10 @@
-"""How much of the prompts at an engine is still to be read.
+"""Estimates how many prompt tokens an engine has yet to process.
 
-The load it answers: several entries see an engine that has just started, or
-has emptied, and each sends it what comes next. An entry knows its own prompts
-only, so all of them go on to send while the engine reads one prompt after the
-other, and first events come seconds late. The engine's own report shows what
-all entries together have sent.
+Several entries may find an engine that has just started or become idle, and
+each sends it new generations. An entry knows only its own prompts, so all of
+them keep sending while the engine processes one prompt after the other, and
+first events are seconds late. The engine's own report covers the prompts of
+all entries.
 """
 
 from gentianpoint_core import ports
@@ -13,17 +13,18 @@
 
 
 def estimate_unread(status: ports.EngineStatus) -> int:
-    """Return the prompt tokens that an engine has still to read.
+    """Return the number of prompt tokens that an engine has yet to process.
 
-    Memory is taken for a whole prompt as soon as its reading begins, so what
-    is in use beyond copies and what generates is the prompt under way. It
-    counts whole, since reports do not tell how far it is. Of the prompts that
-    wait only the first one's length is told; the others count as much.
+    The engine allocates memory for a whole prompt when it starts on it, so
+    the memory in use beyond copies and generating streams belongs to the
+    prompt in progress. That prompt counts in full, since reports don't state
+    its progress. Of the waiting prompts only the first one's length is
+    reported; the others are assumed to have the same length.
     """
     waiting = status.waiting * status.next_prompt_tokens
     if status.running <= status.generating:
         return waiting
-    reading = (
+    in_progress = (
         status.used_tokens - status.copy_tokens - status.generating_tokens
     )
-    return waiting + max(0, reading)
+    return waiting + max(0, in_progress)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/report_periods.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/report_periods.py
@@ -1,7 +1,7 @@
-"""How often an entry is told of load, and of prefixes.
+"""Chooses how often an entry receives load reports and cached prefixes.
 
-An entry with many connections asks for seldom reports, since they are most
-of what control costs it. The prefixes that a warm cache holds make a report
+An entry with many connections asks for infrequent reports, since they are
+most of its control traffic. The prefixes of a warm cache make a report
 several times longer and change more slowly than the load, so such an entry
 gets them only with every tenth report.
 """
@@ -10,17 +10,19 @@
 
 __all__ = ("ReportPeriods", "choose_periods")
 
-_LONGEST_MS: typing.Final = 60_000
-_REPORTS_FOR_PREFIXES: typing.Final = 10
+_MAX_PERIOD_MS: typing.Final = 60_000
+"""Longest time between two reports, milliseconds."""
+_REPORTS_PER_PREFIXES: typing.Final = 10
+"""Number of reports of which one contains prefixes."""
 
 
 class ReportPeriods(typing.NamedTuple):
-    """Times between what one entry is told, milliseconds."""
+    """Periods of the reports to one entry, milliseconds."""
 
     load_ms: int
     """Time between reports."""
     prefixes_ms: int
-    """Time between reports that name prefixes."""
+    """Time between reports that contain prefixes."""
 
 
 def choose_periods(own_ms: int, asked_ms: int) -> ReportPeriods:
@@ -36,5 +38,5 @@
     """
     if asked_ms <= own_ms:
         return ReportPeriods(own_ms, own_ms)
-    load_ms = min(asked_ms, _LONGEST_MS)
-    return ReportPeriods(load_ms, load_ms * _REPORTS_FOR_PREFIXES)
+    load_ms = min(asked_ms, _MAX_PERIOD_MS)
+    return ReportPeriods(load_ms, load_ms * _REPORTS_PER_PREFIXES)
