--- a/packages/gentianpoint-agent/features/steps/drain_rates_steps.py
+++ b/packages/gentianpoint-agent/features/steps/drain_rates_steps.py
@@ -6,7 +6,7 @@
 
 from gentianpoint_agent import drain_rates
 
-_LONG_MS = 120_000.0
+_LATER_MS = 120_000.0
 _TOLERANCE = 1e-4
 
 
@@ -19,17 +19,17 @@
 
 
 @behave.when("{running:d} calls run for a moment now")
-def run_now(context, running):
-    context.drain.note_running(running, _LONG_MS)
+def change_running(context, running):
+    context.drain.note_running(running, _LATER_MS)
 
 
 @behave.then("a call behind {ahead:d} others waits {wait:g} s")
 def check_wait(context, ahead, wait):
     assert context.drain.is_known()
-    found = context.drain.predict_wait_ms(ahead)
-    assert math.isclose(found, wait * 1000, rel_tol=_TOLERANCE), found
+    wait_ms = context.drain.predict_wait_ms(ahead)
+    assert math.isclose(wait_ms, wait * 1000, rel_tol=_TOLERANCE), wait_ms
 
 
-@behave.then("nothing is known that a call could be refused by")
+@behave.then("no call may be refused by a predicted wait")
 def check_unknown(context):
     assert not context.drain.is_known()
