--- a/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/engine_announcements_steps.py
@@ -8,7 +8,7 @@
 from gentianpoint_core import ports
 from gentianpoint_entry.forwarding import engine_announcements
 from gentianpoint_entry.forwarding import entry_peers
-from gentianpoint_entry.forwarding import fleet_news
+from gentianpoint_entry.forwarding import gossip_state
 from gentianpoint_entry.forwarding import members
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import target_listing
@@ -44,24 +44,28 @@
     """What an entry needs to take announcements."""
 
     def __init__(self, address: str, seeds: list[str]) -> None:
-        self.board = targets.TargetBoard()
-        listing = target_listing.TargetListing(self.board, lambda record: None)
+        self.registry = targets.TargetRegistry()
+        listing = target_listing.TargetListing(
+            self.registry, lambda record: None
+        )
         listing.has_read = True
         service = routes.Service(
             forwarding_builders.SERVICE, "/", 1, forwarding_builders.ENGINE
         )
         table = routes.RouteTable(
-            1, [], [service], {}, LIMITS, asks_for_keys=False
+            1, [], [service], {}, LIMITS, requires_keys=False
         )
         self.taken = 0
         self._announcements = engine_announcements.EngineAnnouncements(
             listing, lambda: table
         )
-        news = fleet_news.FleetNews(members.MemberTable(address, "north"))
-        self.peers = entry_peers.EntryPeers(news, seeds, self._take)
+        gossip = gossip_state.GossipState(
+            members.MemberTable(address, "north")
+        )
+        self.peers = entry_peers.EntryPeers(gossip, seeds, self._take)
 
     def _take(self, message) -> None:
-        self._announcements.take(message)
+        self._announcements.handle_message(message)
         self.taken += 1
 
 
@@ -125,13 +129,13 @@
 @behave.then("both entries use the engine")
 def check_used(context):
     for entry in context.entries:
-        target = entry.board.find("engine-1")
+        target = entry.registry.find("engine-1")
         assert target is not None
-        assert target.takes_work()
+        assert target.accepts_work()
         assert target.entry.address == ENGINE_ADDRESS
         assert target.entry.slots == forwarding_builders.ENGINE.slots
 
 
 @behave.then("no entry uses the engine")
 def check_unused(context):
-    assert not any(entry.board.list_all() for entry in context.entries)
+    assert not any(entry.registry.list_all() for entry in context.entries)
--- a/packages/gentianpoint-entry/features/forwarding/steps/choice_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/target_selection_steps.py
@@ -8,13 +8,13 @@
 import trio
 
 from gentianpoint_core import deadlines
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import routes
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 _NOW = 50.0
 _NOTHING = targets.EngineReport(
-    received_at=_NOW,
+    sampled_at=_NOW,
     running=0,
     waiting=0,
     used_tokens=0,
@@ -22,7 +22,7 @@
     is_leaving=False,
     leaves_at=None,
     is_silent=False,
-    unread_tokens=0,
+    pending_prefill_tokens=0,
 )
 
 
@@ -46,9 +46,9 @@
         case "notice":
             report = report._replace(is_leaving=True)
         case "unread":
-            target.unread_prompt_tokens = int(value)
+            target.own_pending_prefill_tokens = int(value)
         case "reported":
-            report = report._replace(unread_tokens=int(value))
+            report = report._replace(pending_prefill_tokens=int(value))
         case _:
             change_target(target, words)
     target.take_report(report)
@@ -75,7 +75,7 @@
             route, forwarding_builders.ENGINE
         )
 
-    return topic_builders.run_on_clock(make)
+    return topic_builders.run_on_mock_clock(make)
 
 
 @behave.when("{tokens:d} prompt tokens were sent to {name} since its report")
@@ -105,7 +105,7 @@
     request = make_request(context)
     source = random.Random(3)
     context.placed = [
-        choice.choose_target(
+        target_selection.choose_target(
             context.engines.values(),
             request,
             forwarding_builders.DATA_CENTRE,
@@ -136,14 +136,14 @@
 @behave.when("a backup is chosen for a generation at a")
 def choose_backup(context):
     runner = context.engines["a"]
-    chosen = choice.choose_backup(
+    chosen = target_selection.choose_copy_destination(
         context.engines.values(),
         runner,
         make_request(context),
         1,
         _NOW,
         random.Random(3),
-        choice.MOST_USED_BY_BACKUPS,
+        target_selection.MAX_USED_SHARE_FOR_BACKUPS,
     )
     context.backup = "none" if chosen is None else chosen.target_id
 
@@ -163,17 +163,17 @@
     choose_at_entry(
         context,
         lambda shared, request: shared.choose_backup(
-            request, shared.board.find("a")
+            request, shared.registry.find("a")
         ),
     )
 
 
 @behave.when("the entry chooses a destination for a generation at {runner}")
-def choose_room(context, runner):
+def choose_destination_by_entry(context, runner):
     choose_at_entry(
         context,
-        lambda shared, request: shared.choose_room(
-            request, shared.board.find(runner)
+        lambda shared, request: shared.choose_destination(
+            request, shared.registry.find(runner)
         ),
     )
 
@@ -184,20 +184,20 @@
         calls = forwarding_builders.ScriptedCalls()
         shared = forwarding_builders.make_forwarder([], calls)
         for name in context.engines:
-            target = shared.board.put_entry(
+            target = shared.registry.put_entry(
                 forwarding_builders.make_entry(name), 0.0
             )
             target.take_report(context.engines[name].report)
         if "notice_ago_s" in context:
             noticed_at = trio.current_time() - context.notice_ago_s
-            shared.board.note_notice(noticed_at)
+            shared.registry.note_leaving_notice(noticed_at)
         request = forwarding_builders.make_request(
             forwarding_builders.make_route(routes.RouteKind.STREAM),
             forwarding_builders.ENGINE,
         )
         return choose(shared, request)
 
-    chosen = topic_builders.run_on_clock(run)
+    chosen = topic_builders.run_on_mock_clock(run)
     context.backup = "none" if chosen is None else chosen.target_id
 
 
@@ -215,13 +215,13 @@
     runner.leaves_at = deadlines.Deadline(_NOW + left_ms / 1000)
     request = make_request(context)
     service = request.service._replace(engine=context.shape)
-    chosen = choice.choose_backup(
+    chosen = target_selection.choose_copy_destination(
         context.engines.values(),
         runner,
         request._replace(service=service),
         1,
         _NOW,
         random.Random(3),
-        choice.MOST_USED_BY_MOVES,
+        target_selection.MAX_USED_SHARE_FOR_MOVES,
     )
     context.backup = chosen.target_id
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_listing.py
@@ -1,4 +1,4 @@
-"""Keeps the board of targets as the platform's list tells it."""
+"""Keeps the registry of targets as the platform's list tells it."""
 
 import collections
 from collections import abc
@@ -36,14 +36,14 @@
 idle targets."""
 
 
-class TargetListing(topic_follower.RecordReader):
+class TargetListing(topic_follower.RecordConsumer):
     """Turns records of the list into targets."""
 
     def __init__(
-        self, board: targets.TargetBoard, decode: DecodeEntry
+        self, registry: targets.TargetRegistry, decode: DecodeEntry
     ) -> None:
-        """Keep ``board``."""
-        self._board: typing.Final = board
+        """Keep ``registry``."""
+        self._registry: typing.Final = registry
         self._decode: typing.Final = decode
         self._missing: typing.Final[set[str]] = set()
         self._announced: typing.Final[dict[str, float]] = {}
@@ -55,13 +55,13 @@
         self._is_available = True
         self.has_read = False
 
-    def take_newest(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
+    def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
         """Take the whole list."""
         listed = set()
         for record in records:
             if self._put(record):
                 listed.add(record.key)
-        for target in self._board.list_all():
+        for target in self._registry.list_all():
             name = target.target_id
             if name not in listed and name not in self._announced:
                 self._drop(name)
@@ -75,7 +75,7 @@
         for a while, and nothing at all while the log is away.
         """
         name = entry.target_id
-        if self._board.find(name) is not None or name in self._dropped:
+        if self._registry.find(name) is not None or name in self._dropped:
             return
         if entry.address in self._addresses:
             # Addresses of targets that have gone are given to other
@@ -83,7 +83,7 @@
             # requests would be run by a service that they must not reach.
             return
         now = trio.current_time()
-        self._board.put_entry(entry, now)
+        self._registry.put_entry(entry, now)
         self._remember_address(entry.address)
         self._announced[name] = now + _LISTED_WITHIN_S
         logs.log_event(
@@ -93,12 +93,12 @@
             service=entry.service,
         )
 
-    def take_change(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one target's entry, or its removal."""
         if record.value is None or not self._put(record):
             self._drop(record.key)
 
-    def note_source(self, *, is_available: bool) -> None:
+    def note_log_availability(self, *, is_available: bool) -> None:
         """Settle what lapsed during an outage once its end is past."""
         now = trio.current_time()
         if not is_available or not self._is_available:
@@ -118,9 +118,9 @@
         entry = self._decode(record)
         if entry is None:
             return False
-        known = self._board.find(entry.target_id)
+        known = self._registry.find(entry.target_id)
         was_leaving = known is not None and known.entry.is_leaving
-        self._board.put_entry(entry, trio.current_time(), record.offset)
+        self._registry.put_entry(entry, trio.current_time(), record.offset)
         self._remember_address(entry.address)
         self._missing.discard(entry.target_id)
         is_new = known is None or entry.target_id in self._announced
@@ -158,5 +158,5 @@
     def _drop_now(self, target_id: str) -> None:
         self._announced.pop(target_id, None)
         self._dropped.append(target_id)
-        if self._board.drop(target_id) is not None:
+        if self._registry.drop(target_id) is not None:
             logs.log_event(events.TARGET_UNLISTED, target=target_id)
