--- a/packages/gentianpoint-agent/features/move_turns.feature
+++ b/packages/gentianpoint-agent/features/move_turns.feature
@@ -1,27 +1,27 @@
 Feature: Generations leave an engine one at a time
-  An engine has one link for the memory of all its generations, and two
-  seconds before it goes.
+  An engine has one link for the memory of all its generations, and goes two
+  seconds after its notice.
 
-  Scenario: several entries want to move their generations at once
-    Copies that run side by side all take as long as all together, and each
-    generation stands still for that time. One after the other, the smallest
-    first, most get away.
-    Given generations a of 5000, b of 3000 and c of 4000 tokens that want to move
-    Then the turns go to a, b, c as each is given back
+  Scenario: several entries move their generations at once
+    Copies that run side by side all take as long as all of them together, and
+    each generation pauses for that time. One after the other, the smallest
+    first, most of them leave in time.
+    Given waiting generations a of 5000, b of 3000 and c of 4000 tokens
+    Then turns are granted to a, b, c as each is released
 
-  Scenario: an entry stops with the turn
+  Scenario: an entry stops during its turn
     The entry that moves a generation is killed. The others must not wait for
-    it until the engine has gone.
-    Given generations a of 5000, b of 3000 and c of 4000 tokens that want to move
+    it until the engine is gone.
+    Given waiting generations a of 5000, b of 3000 and c of 4000 tokens
     When the connection of a's entry is lost
-    Then the turns go to b, c as each is given back
+    Then turns are granted to b, c as each is released
 
-  Scenario: a turn that is not given back
-    Given generations a of 5000, b of 3000 and c of 4000 tokens that want to move
-    When two seconds pass and nobody gives a turn back
+  Scenario: a turn that is not released ends
+    Given waiting generations a of 5000, b of 3000 and c of 4000 tokens
+    When two seconds pass and no turn is released
     Then b has the turn
 
-  Scenario: a generation ends while it waits
-    Given generations a of 5000, b of 3000 and c of 4000 tokens that want to move
+  Scenario: a generation ends while it waits for its turn
+    Given waiting generations a of 5000, b of 3000 and c of 4000 tokens
     When b ends by itself
-    Then the turns go to a, c as each is given back
+    Then turns are granted to a, c as each is released
--- a/packages/gentianpoint-agent/features/prompt_backlog.feature
+++ b/packages/gentianpoint-agent/features/prompt_backlog.feature
@@ -1,14 +1,15 @@
-Feature: What an engine has still to read
-  Entries place new generations by it, since each knows its own prompts only.
+Feature: Prompt tokens that an engine has yet to process
+  Entries place new generations by this number, since each entry knows only its
+  own prompts.
 
-  Scenario Outline: a report is read
-    All entries send to an engine that has just started, and it reads one
-    prompt after the other. Unless its report shows them all, more are sent
-    there, and callers wait seconds for their first event.
+  Scenario Outline: the backlog is estimated from a report
+    All entries send to an engine that has just started, and it processes one
+    prompt after the other. Unless the backlog covers the prompts of all
+    entries, they send more, and callers wait seconds for their first event.
     Given an engine with <running> running, <generating> of them generating
-    And <used> tokens in use, <copies> of them copies and <made> of what generates
+    And <used> tokens in use, <copies> of them copies and <made> of generating streams
     And <waiting> waiting, the first with <next> tokens
-    Then <unread> tokens are still to be read
+    Then <unread> tokens have yet to be processed
 
     Examples:
       | running | generating | used  | copies | made | waiting | next | unread |
--- a/packages/gentianpoint-agent/features/report_periods.feature
+++ b/packages/gentianpoint-agent/features/report_periods.feature
@@ -1,10 +1,11 @@
-Feature: An entry with many connections is told less often
-  Reports to an entry grow with its connections. What it does not need often
-  is told seldom, so that control stays within the node's budget.
+Feature: An entry with many connections gets fewer reports
+  Reports to an entry grow with its connections. What such an entry doesn't
+  need often is sent rarely, so that control traffic stays within the node's
+  budget.
 
-  Scenario Outline: prefixes come with each report only to small entries
-  A warm cache makes a report several times longer. An operator would notice
-  control traffic that doubles as soon as caches are warm.
+  Scenario Outline: only small entries get prefixes with each report
+  A warm cache makes a report several times longer. An operator would see
+  control traffic double as soon as caches are warm.
 
     Given an agent that reports each <own> ms
     When an entry asks for reports <asked> ms apart
--- a/packages/gentianpoint-agent/features/steps/applied_service_steps.py
+++ b/packages/gentianpoint-agent/features/steps/applied_service_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the service resource in force at an agent."""
+"""Steps for the service resource that an agent has applied."""
 
 import behave
 import trio
@@ -23,19 +23,19 @@
 
 
 @behave.given(
-    "an agent that was told offset {offset:d} with {count:d} targets"
+    "an agent that was sent offset {offset:d} with {count:d} targets"
 )
-def tell_first(context, offset, count):
+def send_first(context, offset, count):
     context.service = trio.run(make_service)
     trio.run(apply, context.service, offset, count)
 
 
-@behave.when("an entry tells it offset {offset:d} with {count:d} targets")
-def tell(context, offset, count):
+@behave.when("an entry sends it offset {offset:d} with {count:d} targets")
+def send_another(context, offset, count):
     trio.run(apply, context.service, offset, count)
 
 
-@behave.then("it goes by offset {offset:d} and {count:d} targets")
-def check(context, offset, count):
+@behave.then("it uses offset {offset:d} and {count:d} targets")
+def check_applied(context, offset, count):
     assert context.service.offset == offset, context.service.offset
     assert context.service.replicas == count, context.service.replicas
--- a/packages/gentianpoint-agent/features/steps/cached_prefixes_steps.py
+++ b/packages/gentianpoint-agent/features/steps/cached_prefixes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the engine's cache is believed to hold."""
+"""Steps for the prefixes that the engine's cache holds."""
 
 import re
 
@@ -13,14 +13,14 @@
 
 def read_event(word):
     number, sign, digest = re.fullmatch(r"(\d+)([+-])(\d+)", word).groups()
-    row = (int(digest),)
-    added, removed = (row, ()) if sign == "+" else ((), row)
+    digests = (int(digest),)
+    added, removed = (digests, ()) if sign == "+" else ((), digests)
     return ports.CacheEvent(int(number), added, removed)
 
 
 @behave.when("the cache events {words} are read")
 def read_events(context, words):
-    context.belief = cached_prefixes.CachedPrefixes()
+    context.prefixes = cached_prefixes.CachedPrefixes()
     for word in words.split():
         if word == "restart":
             read = ports.CacheEvents((), 0)
@@ -28,30 +28,30 @@
             read = ports.CacheEvents((), int(word[5:]))
         else:
             event = read_event(word)
-            last = max(event.sequence, context.belief.get_last_sequence())
+            last = max(event.sequence, context.prefixes.get_last_sequence())
             read = ports.CacheEvents((event,), last)
-        context.belief.apply(read)
+        context.prefixes.apply(read)
 
 
-@behave.then("the belief is {wanted}")
-def check_belief(context, wanted):
-    held = " ".join(str(row) for row in context.belief.list_recent(10))
-    assert (held or "none") == wanted, held
+@behave.then("the prefixes are {expected}")
+def check_prefixes(context, expected):
+    held = " ".join(str(digest) for digest in context.prefixes.list_recent(10))
+    assert (held or "none") == expected, held
 
 
 @behave.when("{count:d} prefixes are added one event each")
 def add_many(context, count):
-    context.belief = cached_prefixes.CachedPrefixes()
+    context.prefixes = cached_prefixes.CachedPrefixes()
     context.count = count
     for number in range(1, count + 1):
         event = ports.CacheEvent(number, (number,), ())
-        context.belief.apply(ports.CacheEvents((event,), number))
+        context.prefixes.apply(ports.CacheEvents((event,), number))
 
 
-@behave.then("at most {most:d} are believed, with the last one first")
-def check_bounded_belief(context, most):
-    held = context.belief.list_recent(context.count)
-    assert len(held) <= most, len(held)
+@behave.then("at most {limit:d} are kept, with the last one first")
+def check_bounded_prefixes(context, limit):
+    held = context.prefixes.list_recent(context.count)
+    assert len(held) <= limit, len(held)
     assert held[0] == context.count
 
 
@@ -67,9 +67,9 @@
     assert answer.status_code == 200, answer.text
 
 
-@behave.then("a report names its two prefixes")
+@behave.then("a report contains its two prefixes")
 def check_report(context):
-    wanted = {
+    expected = {
         xxhash.xxh64_intdigest(context.sent[:length].encode())
         for length in (256, 512)
     }
@@ -77,5 +77,5 @@
         context.deployment,
         context.fixture.targets[0].agent,
         builders.MODEL,
-        lambda report: wanted <= set(report["prefixes"]),
+        lambda report: expected <= set(report["prefixes"]),
     )
--- a/packages/gentianpoint-agent/features/steps/lengths_steps.py
+++ b/packages/gentianpoint-agent/features/steps/lengths_steps.py
@@ -1,4 +1,4 @@
-"""Steps for lengths of answers and forecasts of memory."""
+"""Steps for estimates of answer lengths and forecasts of memory."""
 
 import agent_builders
 import behave
@@ -10,31 +10,31 @@
 _DEVIATIONS = 2.3
 
 
-def run_stream(learner, tokens, *, whole, customer="c", prompt="p"):
-    stream = learner.make_stream(customer, prompt, 0)
+def run_stream(estimator, tokens, *, whole, customer="c", prompt="p"):
+    stream = estimator.make_stream(customer, prompt, 0)
     for _ in range(tokens - 1 if whole else tokens):
         stream.add_token()
     if whole:
         stream.end()
 
 
-def get_learner(context):
-    if "learner" not in context:
-        context.learner = length_estimators.LengthEstimator()
-    return context.learner
+def get_lengths(context):
+    if "lengths" not in context:
+        context.lengths = length_estimators.LengthEstimator()
+    return context.lengths
 
 
 @behave.when(
-    "{ended:d} answers of {length:d} tokens end and {cut:d} are cut"
+    "{ended:d} answers of {length:d} tokens end and {cut:d} are cut off"
     " after {after:d}"
 )
 def run_answers(context, ended, length, cut, after):
-    learner = get_learner(context)
+    estimator = get_lengths(context)
     for number in range(max(ended, cut)):
         if number < cut:
-            run_stream(learner, after, whole=False)
+            run_stream(estimator, after, whole=False)
         if number < ended:
-            run_stream(learner, length, whole=True)
+            run_stream(estimator, length, whole=True)
 
 
 @behave.when(
@@ -44,24 +44,23 @@
 def run_mix(context, many, short, long, times):
     for _ in range(times):
         for _ in range(many):
-            run_stream(get_learner(context), short, whole=True)
-        run_stream(context.learner, long, whole=True)
+            run_stream(get_lengths(context), short, whole=True)
+        run_stream(context.lengths, long, whole=True)
 
 
-@behave.then(
-    "half of the answers are at most between {low:d} and {high:d} tokens"
-)
+@behave.then("the median answer has between {low:d} and {high:d} tokens")
 def check_median(context, low, high):
-    half = get_learner(context).service.find_quantile(0, 0.5)
-    assert low <= half <= high, half
+    median = get_lengths(context).service.find_quantile(0, 0.5)
+    assert low <= median <= high, median
 
 
 @behave.then(
-    "of answers at {tokens:d} tokens half end between {low:d} and {high:d}"
+    "the median answer that has reached {tokens:d} tokens has between {low:d}"
+    " and {high:d}"
 )
-def check_conditional(context, tokens, low, high):
-    half = context.learner.service.find_quantile(tokens, 0.5)
-    assert low <= half <= high, half
+def check_conditional_median(context, tokens, low, high):
+    median = context.lengths.service.find_quantile(tokens, 0.5)
+    assert low <= median <= high, median
 
 
 @behave.when(
@@ -70,7 +69,7 @@
 def run_customer(context, name, count, length, prompt):
     for number in range(count):
         run_stream(
-            get_learner(context),
+            get_lengths(context),
             length,
             whole=True,
             customer=name,
@@ -78,64 +77,69 @@
         )
 
 
-@behave.then('an answer for {name} to "{prompt}" is at most {most:d} tokens')
-def check_customer(context, name, prompt, most):
-    stream = context.learner.make_stream(name, f"{prompt:30} 0", 0)
-    half = stream.distribution.find_quantile(0, 0.8)
-    assert half <= most, half
+@behave.then('an answer for {name} to "{prompt}" is at most {limit:d} tokens')
+def check_customer(context, name, prompt, limit):
+    stream = context.lengths.make_stream(name, f"{prompt:30} 0", 0)
+    quantile = stream.distribution.find_quantile(0, 0.8)
+    assert quantile <= limit, quantile
 
 
 @behave.when(
-    "{count:d} customers ask once each beside one that asks {times:d} times"
+    "{count:d} customers send one call each and one customer sends {times:d}"
 )
-def run_crowd(context, count, times):
-    learner = get_learner(context)
+def run_many_customers(context, count, times):
+    estimator = get_lengths(context)
     for number in range(count):
         prompt = f"prompt of customer {number}"
-        run_stream(learner, 3, whole=True, customer=str(number), prompt=prompt)
+        run_stream(
+            estimator, 3, whole=True, customer=str(number), prompt=prompt
+        )
         if number % (count // times) == 0:
-            run_stream(learner, 300, whole=True, customer="large")
+            run_stream(estimator, 300, whole=True, customer="large")
 
 
-@behave.then("fewer than {most:d} kinds are kept")
-def check_kinds(context, most):
-    assert context.learner.count_groups() < most
+@behave.then("fewer than {limit:d} groups are kept")
+def check_groups(context, limit):
+    assert context.lengths.count_groups() < limit
 
 
 @behave.then("the large customer's lengths are still known")
 def check_large(context):
-    stream = context.learner.make_stream("large", "p", 0)
-    half = stream.distribution.find_quantile(0, 0.5)
-    assert 250 <= half <= 360, half
+    stream = context.lengths.make_stream("large", "p", 0)
+    median = stream.distribution.find_quantile(0, 0.5)
+    assert 250 <= median <= 360, median
 
 
 @behave.given("answers that all have {length:d} tokens")
 def learn_length(context, length):
     for _ in range(400):
-        run_stream(get_learner(context), length, whole=True)
+        run_stream(get_lengths(context), length, whole=True)
 
 
-def make_forecast(row, streams):
+def make_forecast(stream, count):
     forecast = memory_forecasts.MemoryForecast(16)
-    for number in range(streams):
-        forecast.add(number, row, 0.0)
+    for number in range(count):
+        forecast.add(number, stream, 0.0)
     return forecast
 
 
 @behave.when(
-    "{streams:d} streams with prompts of {prompt:d} tokens have {tokens:d} out"
+    "{streams:d} streams with prompts of {prompt:d} tokens have generated"
+    " {tokens:d}"
 )
 def forecast_streams(context, streams, prompt, tokens):
-    row = memory_forecasts.StreamMemory(
-        context.learner.service, prompt, tokens, 0
+    stream = memory_forecasts.StreamMemory(
+        context.lengths.service, prompt, tokens, 0
     )
-    context.forecast = make_forecast(row, streams)
+    context.forecast = make_forecast(stream, streams)
 
 
 @behave.when("{streams:d} streams limited to {limit:d} tokens are forecast")
 def forecast_limited(context, streams, limit):
-    row = memory_forecasts.StreamMemory(context.learner.service, 0, 0, limit)
-    context.forecast = make_forecast(row, streams)
+    stream = memory_forecasts.StreamMemory(
+        context.lengths.service, 0, 0, limit
+    )
+    context.forecast = make_forecast(stream, streams)
 
 
 @behave.then("the peak in blocks of 16 is between {low:d} and {high:d}")
@@ -144,10 +148,10 @@
     assert low <= peak <= high, peak
 
 
-@behave.when("other lengths are learned and half of the streams end")
+@behave.when("longer answers are learned and half of the streams end")
 def end_half(context):
     for _ in range(400):
-        run_stream(context.learner, 2000, whole=True)
+        run_stream(context.lengths, 2000, whole=True)
     for number in range(5):
         context.forecast.remove(number)
 
@@ -158,16 +162,16 @@
         context.forecast.remove(number)
 
 
-@behave.then("each of {streams:d} streams is read anew in its turn")
-def check_turns(context, streams):
-    seen = set()
-    row = memory_forecasts.StreamMemory(context.learner.service, 0, 5, 0)
+@behave.then("each of {streams:d} streams is recomputed in turn")
+def check_recomputed(context, streams):
+    recomputed = set()
+    stream = memory_forecasts.StreamMemory(context.lengths.service, 0, 5, 0)
     for _ in range(streams):
         for key in context.forecast.list_due(1.0):
             context.forecast.remove(key)
-            context.forecast.add(key, row, 2.0)
-            seen.add(key)
-    assert len(seen) == streams, seen
+            context.forecast.add(key, stream, 2.0)
+            recomputed.add(key)
+    assert len(recomputed) == streams, recomputed
     assert not context.forecast.list_due(1.0)
 
 
@@ -178,7 +182,7 @@
 def run_customers(context, customers, count, length, prompt):
     for number in range(customers * count):
         run_stream(
-            get_learner(context),
+            get_lengths(context),
             length,
             whole=True,
             customer=f"customer-{number // count}",
@@ -186,17 +190,17 @@
         )
 
 
-@behave.given("a service whose answers have at most {most:d} tokens")
-def make_estimator(context, most):
-    context.service_limit = most
-    context.call_estimates = call_estimates.CallEstimator()
+@behave.given("a service whose answers have at most {limit:d} tokens")
+def make_estimator(context, limit):
+    context.service_limit = limit
+    context.estimator = call_estimates.CallEstimator()
 
 
 def estimate_call(context, customer, limit):
     profile = agent_builders.make_profile(
         customer, prompt=f"{customer} asks", max_tokens=limit
     )
-    return context.call_estimates.estimate_call(profile, context.service_limit)
+    return context.estimator.estimate_call(profile, context.service_limit)
 
 
 def end_answers(context, count, length, limit):
@@ -221,12 +225,12 @@
     end_answers(context, count, length, limit)
 
 
-@behave.then("an answer whose caller sets no limit is taken to be short")
+@behave.then("an answer whose caller sets no limit is estimated to be short")
 def check_short(context):
     assert estimate_call(context, "newcomer", 0).is_short
 
 
-@behave.then("an answer whose caller sets {limit:d} is taken to be long")
+@behave.then("an answer whose caller sets {limit:d} is estimated to be long")
 def check_long(context, limit):
     estimate = estimate_call(context, "newcomer", limit)
     assert not estimate.is_short
--- a/packages/gentianpoint-agent/features/steps/move_turns_steps.py
+++ b/packages/gentianpoint-agent/features/steps/move_turns_steps.py
@@ -9,7 +9,8 @@
 from gentianpoint_agent import move_turns
 
 
-def on_clock(context, function):
+def call_at_now(context, function):
+    """Call a function in a trio run whose clock shows ``context.now``."""
     clock = trio.testing.MockClock()
     clock.jump(context.now)
 
@@ -20,62 +21,63 @@
 
 
 @behave.given(
-    "generations a of {a:d}, b of {b:d} and c of {c:d} tokens that want to"
-    " move"
+    "waiting generations a of {a:d}, b of {b:d} and c of {c:d} tokens"
 )
-def make_turns(context, a, b, c):
+def request_turns(context, a, b, c):
     context.now = 100.0
     context.turns = move_turns.MoveTurns()
     context.channels = {}
     for name, tokens in (("a", a), ("b", b), ("c", c)):
         send, receive = trio.open_memory_channel(math.inf)
         context.channels[name] = (send, receive)
-        turn = move_turns.MoveRequest(name, tokens, send)
-        on_clock(context, lambda turn=turn: context.turns.request_turn(turn))
+        move = move_turns.MoveRequest(name, tokens, send)
+        call_at_now(
+            context, lambda move=move: context.turns.request_turn(move)
+        )
 
 
-def list_given(context):
-    """Return the generations that were given a turn since the last look."""
-    given = []
+def list_granted(context):
+    """Return the generations granted a turn since the last call."""
+    granted = []
     for _, receive in context.channels.values():
         try:
-            given.append(receive.receive_nowait())
+            granted.append(receive.receive_nowait())
         except (trio.WouldBlock, trio.EndOfChannel):
             continue
-    return given
+    return granted
 
 
 def release_turn(context, name):
-    on_clock(context, lambda: context.turns.release_turn(name))
+    call_at_now(context, lambda: context.turns.release_turn(name))
 
 
-@behave.then("the turns go to {names} as each is given back")
+@behave.then("turns are granted to {names} as each is released")
 def check_order(context, names):
     order = []
-    while given := list_given(context):
-        assert len(given) == 1, given
-        order += given
-        release_turn(context, given[0])
+    while granted := list_granted(context):
+        assert len(granted) == 1, granted
+        order += granted
+        release_turn(context, granted[0])
     assert order == names.split(", "), order
 
 
 @behave.when("the connection of a's entry is lost")
 def lose_entry(context):
-    assert list_given(context) == ["a"]
+    assert list_granted(context) == ["a"]
     channel = context.channels["a"][0]
-    on_clock(context, lambda: context.turns.drop_entry(channel))
+    call_at_now(context, lambda: context.turns.drop_entry(channel))
 
 
-@behave.when("two seconds pass and nobody gives a turn back")
+@behave.when("two seconds pass and no turn is released")
 def pass_time(context):
-    assert list_given(context) == ["a"]
+    assert list_granted(context) == ["a"]
     context.now += 2.0
-    on_clock(context, context.turns.grant_next)
+    call_at_now(context, context.turns.grant_next)
 
 
 @behave.then("b has the turn")
 def check_second(context):
-    assert list_given(context) == ["b"]
+    assert list_granted(context) == ["b"]
 
 
 @behave.when("b ends by itself")
--- a/packages/gentianpoint-agent/features/steps/predictive_policy_steps.py
+++ b/packages/gentianpoint-agent/features/steps/predictive_policy_steps.py
@@ -9,8 +9,8 @@
 
 from gentianpoint_agent import pace_limits
 
-_MOST = 200
-_KNOWN = 150
+_MAX_CALLS = 200
+_LEARNED_ANSWERS = 150
 _WINDOWS = 30
 
 
@@ -26,34 +26,34 @@
     return calls
 
 
-def teach(calls, blocks, low, high):
+def learn_lengths(calls, blocks, low, high):
     draw = random.Random(7)
-    for _ in range(_KNOWN):
+    for _ in range(_LEARNED_ANSWERS):
         calls.send(agent_builders.make_profile("c"))
         calls.end_first(draw.randint(low, high) - 1, "stop")
-    # These tokens came at once, which no engine does: the pace is forgotten
-    # as after a restart.
+    # These tokens came without any time between them, which no engine does.
+    # A report with another boot resets the pace, as after a restart.
     note_load(calls, blocks=blocks)
 
 
 def start_all(calls, prompt="a prompt"):
-    for _ in range(_MOST):
+    for _ in range(_MAX_CALLS):
         calls.send(agent_builders.make_profile("c", prompt=prompt))
         if calls.control.count_queued():
             break
     return len(calls.running)
 
 
-def bring_tokens(calls, gap_ms):
-    """Let each running stream bring tokens with a gap between them."""
+def generate_tokens(calls, gap_ms):
+    """Let each running stream generate ten tokens, ``gap_ms`` apart."""
 
-    def bring_all():
+    def generate_all():
         for call in tuple(calls.running):
             call.slot.note_token()
 
     for _ in range(10):
         calls.pass_time(gap_ms / 1000)
-        calls.stage.call(bring_all)
+        calls.stage.call(generate_all)
 
 
 @behave.given("a predictive policy for {objective} with {blocks:d} blocks")
@@ -64,8 +64,8 @@
 
 
 @behave.given("answers known to have between {low:d} and {high:d} tokens")
-def teach_lengths(context, low, high):
-    teach(context.calls, context.blocks, low, high)
+def learn_answers(context, low, high):
+    learn_lengths(context.calls, context.blocks, low, high)
 
 
 @behave.given("prompts of {tokens:d} tokens")
@@ -88,7 +88,7 @@
     context.both = {}
     for objective in ("fewest_preemptions", "steady_pace"):
         calls = make_calls(objective, blocks)
-        teach(calls, blocks, 100, 1000)
+        learn_lengths(calls, blocks, 100, 1000)
         context.both[objective] = calls
 
 
@@ -106,7 +106,7 @@
     for objective, calls in context.both.items():
         for _ in range(_WINDOWS):
             start_all(calls)
-            bring_tokens(calls, 50 + 5 * len(calls.running))
+            generate_tokens(calls, 50 + 5 * len(calls.running))
             note_load(calls, blocks=100000)
         context.counts[objective] = len(calls.running)
         calls.close()
@@ -124,15 +124,15 @@
     )
 
 
-@behave.when("reports say that {used:d} blocks are used by them")
-def report_often(context, used):
+@behave.when("reports say that they use {used:d} blocks")
+def report_repeatedly(context, used):
     for _ in range(20):
         context.calls.pass_time(0.2)
         report(context, 0, used)
 
 
-@behave.when("{count:d} call of them has started {age:d} ms ago")
-def start_before(context, count, age):
+@behave.when("{count:d} of these calls has started {age:d} ms ago")
+def start_earlier(context, count, age):
     context.calls.pass_time(1)
     for _ in range(count):
         context.calls.send(
@@ -141,8 +141,8 @@
     context.calls.pass_time(age / 1000)
 
 
-@behave.when("{count:d} calls have started and brought a token")
-def start_some(context, count):
+@behave.when("{count:d} calls have started and generated a token")
+def start_and_generate(context, count):
     for _ in range(count):
         context.calls.send(agent_builders.make_profile("c"))
     for call in context.calls.running:
@@ -155,8 +155,8 @@
     context.calls.stage.call(slot.note_preemption)
 
 
-@behave.when("a stream is preempted and comes back")
-def preempt_for_a_while(context):
+@behave.when("a stream is preempted and resumes")
+def preempt_and_resume(context):
     preempt(context)
     slot = context.calls.running[0].slot
     context.calls.stage.call(slot.note_token)
@@ -206,18 +206,18 @@
 
 
 @behave.when("the slower tokens take {slow:d} ms for {windows:d} windows")
-def update_often(context, slow, windows):
-    context.least = math.inf
+def update_repeatedly(context, slow, windows):
+    context.minimum = math.inf
     for _ in range(windows):
         pace = pace_limits.WindowPace(float(slow), float(slow), float(slow))
         running = context.limit.get_limit()
         context.limit.update(pace, running, 2.5)
-        context.least = min(context.least, running)
+        context.minimum = min(context.minimum, running)
 
 
 @behave.then("the limit rises again")
 def check_rises(context):
-    assert context.limit.get_limit() > context.least
+    assert context.limit.get_limit() > context.minimum
 
 
 def preempt_first(calls, count):
@@ -234,9 +234,7 @@
     calls.pass_time(1)
 
 
-@behave.when(
-    "{count:d} of them are preempted, come back and end with the others"
-)
+@behave.when("{count:d} of them are preempted, resume and end with the others")
 def preempt_at_once(context, count):
     preempt_first(context.calls, count)
     for scope in context.calls.scopes:
@@ -245,9 +243,9 @@
 
 
 @behave.when(
-    "they are short of memory {times:d} times, {seconds:d} s apart, and end"
+    "they run out of memory {times:d} times, {seconds:d} s apart, and end"
 )
-def preempt_often(context, times, seconds):
+def preempt_repeatedly(context, times, seconds):
     for _ in range(times):
         preempt_first(context.calls, 2)
         context.calls.pass_time(seconds)
--- a/packages/gentianpoint-agent/features/steps/preemptions_steps.py
+++ b/packages/gentianpoint-agent/features/steps/preemptions_steps.py
@@ -1,4 +1,4 @@
-"""Steps that count preemptions of real stand-in engines."""
+"""Steps that compare the preemptions of stand-in engines."""
 
 from concurrent import futures
 
@@ -8,8 +8,9 @@
 from features import builders
 from gentianpoint_standins import processes
 
-# Steps are long beside what a busy machine needs to bring all prompts to the
-# engine: were the first answered before the last came, nothing would crowd.
+# Decoding steps are long compared with the time that a busy machine needs to
+# send all prompts to the engine. If the first were answered before the last
+# arrives, the engine would not run out of memory.
 _ENGINE = {"step_ms": 30, "stream_ms": 0.05, "block_tokens": 16, "seed": 5}
 
 
@@ -25,7 +26,7 @@
     )
 
     def ask(number):
-        # Each prompt's answer is as long on either engine: lengths are drawn
+        # Both engines answer a prompt with the same length, which is drawn
         # from the prompt and the engine's seed.
         prompt = f"question {number} of the usual kind, to be answered"
         return builders.complete(fixture.entries[0], prompt)
@@ -55,25 +56,29 @@
     run_prompts(context, count, blocks, policy)
 
 
-@behave.then("all are answered whole by both")
+@behave.then("both answer all prompts completely")
 def check_answers(context):
     texts = []
     for answers, _ in context.outcomes.values():
-        refused = [row.text for row in answers if row.status_code != 200]
+        refused = [
+            answer.text for answer in answers if answer.status_code != 200
+        ]
         assert not refused, refused
-        texts.append([row.json()["choices"][0]["text"] for row in answers])
+        texts.append(
+            [answer.json()["choices"][0]["text"] for answer in answers]
+        )
     assert texts[0] == texts[1]
 
 
 @behave.then(
-    "the engine without admission has preempted at least {least:d} times"
+    "the engine without admission has preempted at least {minimum:d} times"
 )
-def check_crowded(context, least):
-    assert context.outcomes["none"][1] >= least, context.outcomes["none"][1]
+def check_preempted(context, minimum):
+    assert context.outcomes["none"][1] >= minimum, context.outcomes["none"][1]
 
 
 @behave.then(
-    "predictive admission has had at most a third as many preemptions"
+    "the one with predictive admission has preempted at most a third as often"
 )
 def check_fewer(context):
     without, predicted = (
--- a/packages/gentianpoint-agent/features/steps/prompt_backlog_steps.py
+++ b/packages/gentianpoint-agent/features/steps/prompt_backlog_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what an engine has still to read."""
+"""Steps for the prompt tokens that an engine has yet to process."""
 
 import behave
 
@@ -28,8 +28,8 @@
 
 
 @behave.given(
-    "{used:d} tokens in use, {copies:d} of them copies and {made:d} of what"
-    " generates"
+    "{used:d} tokens in use, {copies:d} of them copies and {made:d} of"
+    " generating streams"
 )
 def use_memory(context, used, copies, made):
     context.status = context.status._replace(
@@ -38,12 +38,12 @@
 
 
 @behave.given("{waiting:d} waiting, the first with {tokens:d} tokens")
-def wait(context, waiting, tokens):
+def set_waiting(context, waiting, tokens):
     context.status = context.status._replace(
         waiting=waiting, next_prompt_tokens=tokens
     )
 
 
-@behave.then("{unread:d} tokens are still to be read")
+@behave.then("{unread:d} tokens have yet to be processed")
 def check_unread(context, unread):
     assert prompt_backlog.estimate_unread(context.status) == unread
