--- a/packages/gentianpoint-agent/src/gentianpoint_agent/cached_prefixes.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/cached_prefixes.py
@@ -20,9 +20,9 @@
 _MAX_PREFIXES: typing.Final = 4096
 """Maximum number of prefixes tracked."""
 _WAIT_MS: typing.Final = 2000
-"""Time that the engine may wait for events before it answers, ms."""
+"""Longest time that the engine waits for a new event, milliseconds."""
 _PAUSE_S: typing.Final = 0.2
-"""Time between two requests for events, seconds."""
+"""Pause before the next request for events, seconds."""
 
 
 class CachedPrefixes:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
@@ -21,7 +21,7 @@
 __all__ = ("EngineAnnouncer", "EngineLocation")
 
 _IDENTITY_RETRY_S: typing.Final = 0.25
-"""Time before an engine that isn't healthy yet is asked for its identifier
+"""Pause before an engine that isn't healthy yet is asked for its identifier
 again, in seconds."""
 _IDENTITY_ATTEMPTS: typing.Final = 6
 """Number of times that it is asked, since each request may be charged for;
@@ -29,7 +29,7 @@
 _SEND_ATTEMPTS: typing.Final = 3
 """Number of times that an entry is tried: the list soon names the engine."""
 _SEND_RETRY_S: typing.Final = 0.3
-"""Time between two attempts to reach an entry, seconds."""
+"""Pause between two attempts to reach an entry, seconds."""
 _CONFIRM_TIMEOUT_S: typing.Final = 1.0
 """Time in which an entry that received the message closes the connection, in
 seconds."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
@@ -24,7 +24,7 @@
 __all__ = ("POLL_INTERVAL_S", "EngineFeed")
 
 POLL_INTERVAL_S: typing.Final = 0.1
-"""Time between two status requests, in seconds. An engine goes two seconds
+"""Pause between two status requests, in seconds. An engine goes two seconds
 after its notice, and moving its generations takes most of that."""
 _MAX_SEND_INTERVAL_S: typing.Final = 1.0
 """Time after which an unchanged status is sent again, in seconds, so that
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/fair_queue.py
@@ -35,7 +35,11 @@
 
 
 class Ticket:
-    """A waiting call and the decision on it."""
+    """A waiting call and the decision on it.
+
+    ``number`` is its place in the order of arrival, ``overtaken`` the number
+    of calls that started although this one was next.
+    """
 
     def __init__(
         self,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/length_distributions.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/length_distributions.py
@@ -112,7 +112,7 @@
         self._hazards: abc.Sequence[float] = _PRIOR_HAZARDS
         self._survival: abc.Sequence[float] = [1.0] * (BINS + 1)
         self._mean = 0.0
-        self.streams = 0
+        self.ended_streams = 0
 
     def add_survivor(self, index: int) -> None:
         """Count a stream that went on beyond a bin."""
@@ -120,13 +120,13 @@
 
     def add_end(self, index: int) -> None:
         """Count a stream that ended by itself in a bin."""
-        self.streams += 1
+        self.ended_streams += 1
         self._count(index, 1.0)
 
     def count_ended(self) -> int:
         """Return the number of ended streams of the widest group."""
         parent = self._parent
-        return self.streams if parent is None else parent.count_ended()
+        return self.ended_streams if parent is None else parent.count_ended()
 
     def _count(self, index: int, ended: float) -> None:
         self._at_risk[index] = self._at_risk[index] * _DECAY + 1
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
@@ -26,7 +26,12 @@
 
 
 class MemoryLedger:
-    """Estimate of the blocks in use, corrected by each report."""
+    """Estimate of the blocks in use, corrected by each report.
+
+    ``prompt_share`` is the estimated share of prompt blocks that use memory
+    of their own, since prompts may share a prefix. ``foreign_blocks`` counts
+    the blocks in use that no stream of this agent holds.
+    """
 
     def __init__(self) -> None:
         """Start empty; the first report sets the size of blocks."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
@@ -29,13 +29,13 @@
 _PACE_WINDOW_MS: typing.Final = 500.0
 """Minimum time between two updates of the pace limit, milliseconds."""
 _MAX_EXTRA_DEVIATIONS: typing.Final = 3.0
-"""Maximum of the standard deviations that preemptions add."""
+"""Maximum number of standard deviations added after preemptions."""
 _UNTRAINED_DEVIATIONS: typing.Final = 1.0
 """Standard deviations added before any answer has ended."""
 _TRAINING_STREAMS: typing.Final = 32
-"""Number of ended answers at which a quarter of that remains."""
+"""Number of ended answers at which a quarter of those is still added."""
 _EXTRA_DECAY: typing.Final = 0.99
-"""Factor of the deviations that preemptions added, for each load report."""
+"""Factor applied to the added deviations at each load report."""
 _SHORTAGE_MS: typing.Final = 2000.0
 """Time in which further preemptions count as the same shortage, ms."""
 
