--- a/packages/gentianpoint-agent/features/entry_stage.py
+++ b/packages/gentianpoint-agent/features/entry_stage.py
@@ -181,13 +181,13 @@
         websocket.bring(make_hello(run, **versions))
         self._nursery.start_soon(self._serve, len(self.websockets))
 
-    def hold(self) -> None:
+    def suspend_admission(self) -> None:
         """Let the agent take no new work, as while it loads a version."""
-        self.state.hold("the target loads")
+        self.state.suspend_admission("the target loads")
 
-    def release_hold(self) -> None:
+    def resume_admission(self) -> None:
         """Let it take new work again."""
-        self.state.release_hold()
+        self.state.resume_admission()
 
     async def _serve(self, number: int) -> None:
         connection = peer_connections.PeerConnection(
--- a/packages/gentianpoint-agent/features/runner_builders.py
+++ b/packages/gentianpoint-agent/features/runner_builders.py
@@ -61,10 +61,10 @@
         self.calls = 0
         self.answer = trio.Event()
 
-    async def run_started(
+    async def call_target(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
         slot: admission_policy.Slot,
     ) -> generations.GenerationEnd:
         """Count the call and wait for the answer."""
@@ -72,7 +72,9 @@
         await self.answer.wait()
         return generations.GenerationEnd(generations.STOP)
 
-    async def stop(self, generation: generations.Generation) -> None:
+    async def cancel_at_target(
+        self, generation: generations.Generation
+    ) -> None:
         """Stop nothing."""
 
 
@@ -86,7 +88,7 @@
         self.generation = generations.Generation(
             "t~i~1~s", "rebobinados", False, False
         )
-        self.order = call_runner.StartOrder(
+        self.call = call_runner.OfferedCall(
             _OFFER,
             "entry-1",
             deadlines.make_deadline(start_within_ms),
@@ -95,7 +97,7 @@
 
     async def run(self) -> None:
         """Run the call to its end."""
-        await self.runner.run(self.generation, self.order)
+        await self.runner.run(self.generation, self.call)
 
     def give_turn(self) -> None:
         """Let the call pass admission."""
--- a/packages/gentianpoint-agent/features/steps/generation_table_steps.py
+++ b/packages/gentianpoint-agent/features/steps/generation_table_steps.py
@@ -100,7 +100,7 @@
 def forget_first(context):
     end_first(context, "stop")
     context.stage.clock.jump(3600)
-    context.stage.call(context.generation_table.forget_expired)
+    context.stage.call(context.generation_table.drop_expired)
 
 
 @behave.then("the start is refused with {code}")
@@ -153,7 +153,7 @@
 @behave.then("after {seconds:d} seconds one more is given out")
 def check_room(context, seconds):
     context.stage.clock.jump(seconds)
-    context.stage.call(context.generation_table.forget_expired)
+    context.stage.call(context.generation_table.drop_expired)
     assert context.stage.call(
         context.generation_table.prepare, OWNER
     ).identifier
@@ -168,7 +168,7 @@
         generation.add_text("x" * size)
         generation.finish(agent_builders.make_end("stop"))
         context.generation_table.retire(generation)
-        context.generation_table.forget_expired()
+        context.generation_table.drop_expired()
         return generation.identifier
 
     context.ended = [
@@ -247,7 +247,7 @@
 
 @behave.when("the target has shown that it holds it")
 def show_held(context):
-    context.adopted.found = True
+    context.adopted.confirmed = True
 
 
 @behave.when("the target does not know it")
--- a/packages/gentianpoint-agent/features/steps/order_turns_steps.py
+++ b/packages/gentianpoint-agent/features/steps/order_turns_steps.py
@@ -220,7 +220,7 @@
 )
 def draw_waits(context, count, targets, size, rate):
     reads = weight_reads.WeightReads(None, rate, None)
-    draw = functools.partial(reads.choose_wait_s, size, targets)
+    draw = functools.partial(reads.choose_delay_s, size, targets)
     context.waits = [draw() for _ in range(count)]
 
 
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/__init__.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent package."""
+"""Agent that runs beside a target and takes calls from entries."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
@@ -43,11 +43,17 @@
 __all__ = ("run_agent",)
 
 _HOUSEKEEPING_S: typing.Final = 0.2
+"""Interval at which generations are expired and abandoned, in seconds."""
 _LOAD_POLL_S: typing.Final = 0.2
-_ADOPT_PAUSE_S: typing.Final = 0.5
+"""Interval at which the engine's load report is read, in seconds."""
+_ADOPT_RETRY_S: typing.Final = 0.5
+"""Delay before the engine's streams are listed again, in seconds."""
 _DRAIN_POLL_S: typing.Final = 0.05
+"""Interval at which draining is checked during shutdown, in seconds."""
 _PLAIN_SILENCE_MS: typing.Final = 60_000
+"""Time that a plain service may stay silent in a call, in milliseconds."""
 _CLOSE_TIMEOUT_S: typing.Final = 1
+"""Time for the closing handshake of a websocket, in seconds."""
 
 
 def _check_peer_key(
@@ -55,8 +61,8 @@
     connection: websockets.trio.server.ServerConnection,
     request: websockets.http11.Request,
 ) -> typing.Optional[websockets.http11.Response]:
-    given = request.headers.get(peer_connections.PEER_KEY_HEADER, "")
-    if hmac.compare_digest(given.encode(), key.encode()):
+    received = request.headers.get(peer_connections.PEER_KEY_HEADER, "")
+    if hmac.compare_digest(received.encode(), key.encode()):
         return None
     logs.log_event(
         events.CONNECTION_REFUSED,
@@ -116,7 +122,7 @@
         task_status.started()
 
 
-async def _watch_engine(
+async def _poll_engine_load(
     state: agent_state.AgentState, engine: ports.Engine
 ) -> None:
     available = True
@@ -137,45 +143,48 @@
             last = state.control.load
             if last is not None and last.boot != load.boot:
                 state.prefixes.forget()
-            state.note_report(load)
+            state.record_report(load)
             if load.reclaim_in_ms is not None:
-                state.lifecycle.start_leaving("the engine is reclaimed")
+                state.lifecycle.start_leaving(
+                    "the platform is reclaiming the engine"
+                )
         await trio.sleep(_LOAD_POLL_S)
 
 
-async def _keep_house(state: agent_state.AgentState) -> None:
+async def _run_housekeeping(state: agent_state.AgentState) -> None:
     while True:
         overdue_by = deadlines.make_deadline(
             _HOUSEKEEPING_S * 1000 + state.settings.silence_ms
         )
         await trio.sleep(_HOUSEKEEPING_S)
         if overdue_by.is_past():
-            state.note_pause()
-        state.table.forget_expired()
+            state.mark_running_shared()
+        state.table.drop_expired()
         state.abandon_orphans()
 
 
 async def _adopt_streams(
     state: agent_state.AgentState, engine: ports.Engine
 ) -> None:
-    """Read on the streams that an earlier run of the agent has started.
+    """Adopt the streams that an earlier run of the agent started.
 
-    Asked until the engine answers, or shows that it has no list.
+    Retries until the engine lists them, or answers other requests although
+    it refuses this one because it offers no list.
     """
     while True:
         try:
             identifiers = await engine.list_streams()
         except ports.PortError as error:
-            if not error.took_effect and await _answers(engine):
+            if not error.took_effect and await _is_answering(engine):
                 return
-            await trio.sleep(_ADOPT_PAUSE_S)
+            await trio.sleep(_ADOPT_RETRY_S)
             continue
         for identifier in identifiers:
             state.adopt_call(identifier)
         return
 
 
-async def _answers(engine: ports.Engine) -> bool:
+async def _is_answering(engine: ports.Engine) -> bool:
     try:
         await engine.read_load()
     except ports.PortError:
@@ -183,18 +192,18 @@
     return True
 
 
-async def _drive_engine(
+async def _control_engine(
     state: agent_state.AgentState,
     engine: ports.Engine,
     client: httpx.AsyncClient,
 ) -> None:
-    """Adopt what runs, then carry orders out.
+    """Adopt running streams, then reconcile the engine with its service.
 
-    An order to load waits for the running calls. One given before the
-    streams of an earlier run are known would end them in the middle.
+    An order to load waits for the running calls. An order sent before the
+    streams of an earlier run are known would cut them off.
     """
     await _adopt_streams(state, engine)
-    await _make_orders(state, engine, client).run()
+    await _make_reconciler(state, engine, client).run()
 
 
 async def _watch_signals(state: agent_state.AgentState) -> None:
@@ -203,16 +212,16 @@
 
 
 async def _wait_drained(state: agent_state.AgentState) -> None:
-    """Wait until all calls are delivered and all entries know."""
+    """Wait until all calls are delivered and all entries are notified."""
     while not state.is_drained():
         await trio.sleep(_DRAIN_POLL_S)
 
 
-def _make_orders(
+def _make_reconciler(
     state: agent_state.AgentState,
     engine: ports.Engine,
     client: httpx.AsyncClient,
-) -> engine_orders.EngineOrders:
+) -> engine_orders.EngineReconciler:
     settings = state.settings
     stream = order_stream.OrderStream(
         http_log.HttpLog(settings.log_url, client),
@@ -229,7 +238,7 @@
             stream, order_records.WEIGHTS, settings.turn_ms
         ),
     )
-    return engine_orders.EngineOrders(
+    return engine_orders.EngineReconciler(
         state,
         engine,
         stream,
@@ -288,10 +297,10 @@
         )
         await nursery.start(_listen, state)
         nursery.start_soon(_watch_signals, state)
-        nursery.start_soon(_keep_house, state)
+        nursery.start_soon(_run_housekeeping, state)
         if settings.target_kind == "engine":
-            nursery.start_soon(_watch_engine, state, engine)
-            nursery.start_soon(_drive_engine, state, engine, client)
+            nursery.start_soon(_poll_engine_load, state, engine)
+            nursery.start_soon(_control_engine, state, engine, client)
             nursery.start_soon(
                 prefix_beliefs.watch_cache_events, engine, state.prefixes
             )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
@@ -1,4 +1,4 @@
-"""What the tasks of one agent share."""
+"""State shared by the tasks of one agent."""
 
 import abc
 import typing
@@ -23,26 +23,28 @@
 
 
 class OpenConnection(abc.ABC):
-    """A connection of an entry, as the other tasks see it."""
+    """A connection from an entry, as seen by the agent's other tasks."""
 
-    told_leaving: bool
-    """True once the entry was told that the agent takes no new work."""
+    leaving_sent: bool
+    """True once the entry was notified that the agent is leaving."""
 
     @abc.abstractmethod
-    def is_of(self, incarnation: str) -> bool:
-        """Tell whether the connection is of a run of an entry."""
+    def belongs_to(self, incarnation: str) -> bool:
+        """Tell whether the connection is from this run of an entry."""
 
     @abc.abstractmethod
-    async def end(self) -> None:
-        """End the connection and wait until nothing of it is read."""
+    async def close(self) -> None:
+        """Close the connection and wait until nothing more is read."""
 
 
-_PREFIXES_REPORTED: typing.Final = 64
-_REPORT_LASTS_MS: typing.Final = 5000
+_MAX_REPORTED_PREFIXES: typing.Final = 64
+"""Most cached prefixes in one report to entries."""
+_REPORT_VALID_MS: typing.Final = 5000
+"""Time until the engine's last load report is stale, in milliseconds."""
 
 
 class AgentState:
-    """The table of generations, the service in force and the calls."""
+    """The agent's generations, its service, and the tasks of its calls."""
 
     def __init__(
         self,
@@ -52,7 +54,7 @@
         runner: call_runner.CallRunner,
         service: service_in_force.ServiceInForce,
     ) -> None:
-        """Run calls in ``nursery`` by ``runner``."""
+        """Run calls in ``nursery`` with ``runner``."""
         self.settings: typing.Final = settings
         self.table: typing.Final = generation_table.GenerationTable(
             settings.target,
@@ -65,8 +67,8 @@
         self.control: typing.Final = control
         self.connections: typing.Final[set[OpenConnection]] = set()
         self.prefixes: typing.Final = prefix_beliefs.PrefixBelief()
-        self.hold_reason = ""
-        self._report_until = deadlines.Deadline(0.0)
+        self.suspension_reason = ""
+        self._report_valid_until = deadlines.Deadline(0.0)
         self._nursery: typing.Final = nursery
         self._runner: typing.Final = runner
 
@@ -74,46 +76,46 @@
         """Tell whether the target is a plain service."""
         return self.settings.target_kind == "plain"
 
-    def hold(self, reason: str) -> None:
-        """Take no new calls until the hold is released."""
-        self.hold_reason = reason
+    def suspend_admission(self, reason: str) -> None:
+        """Accept no new calls until admission is resumed."""
+        self.suspension_reason = reason
 
-    def release_hold(self) -> None:
-        """Take new calls again."""
-        self.hold_reason = ""
+    def resume_admission(self) -> None:
+        """Accept new calls again."""
+        self.suspension_reason = ""
 
-    def note_report(self, load: ports.EngineLoad) -> None:
-        """Take a load report of the engine."""
-        self._report_until = deadlines.make_deadline(_REPORT_LASTS_MS)
+    def record_report(self, load: ports.EngineLoad) -> None:
+        """Store a load report of the engine."""
+        self._report_valid_until = deadlines.make_deadline(_REPORT_VALID_MS)
         self.control.note_load(load)
 
     def is_report_stale(self) -> bool:
-        """Tell whether the engine has not reported for a while."""
-        return self._report_until.is_past()
+        """Tell whether the engine's last load report is out of date."""
+        return self._report_valid_until.is_past()
 
     def start_call(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
     ) -> None:
-        """Run a call in a task of its own."""
-        self._nursery.start_soon(self._run_call, generation, order)
+        """Run a call in its own task."""
+        self._nursery.start_soon(self._run_call, generation, call)
 
     async def _run_call(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
     ) -> None:
-        await self._runner.run(generation, order)
+        await self._runner.run(generation, call)
         self.table.retire(generation)
 
     def adopt_call(
         self, identifier: str, customer: str = generations.UNKNOWN_CUSTOMER
     ) -> typing.Optional[generations.Generation]:
-        """Read on at the target what an earlier run of the agent started.
+        """Read a generation from the target that an earlier run started.
 
-        None when it is not for this agent, or not the customer's. Nothing is
-        started: when the target does not know it, its outcome is unknown.
+        None when it belongs to another agent or another customer. Nothing is
+        started: if the target does not know it, its outcome is unknown.
         """
         generation = self.table.adopt(identifier, self.is_plain(), customer)
         if generation is None:
@@ -121,7 +123,7 @@
         logs.log_event(
             events.GENERATION_ADOPTED,
             generation=identifier,
-            listed=generation.found,
+            listed=generation.confirmed,
         )
         self._nursery.start_soon(self._run_adopted, generation)
         return generation
@@ -131,13 +133,13 @@
         self.table.retire(generation)
 
     def is_drained(self) -> bool:
-        """Tell whether all calls are delivered and entries know the end."""
+        """Tell whether all calls are delivered and all entries notified."""
         if self.table.list_running() or self.table.has_unread():
             return False
-        return all(row.told_leaving for row in self.connections)
+        return all(row.leaving_sent for row in self.connections)
 
     def make_report(self) -> messages.Report:
-        """Return the load as entries are told it."""
+        """Return the load report that is sent to entries."""
         load = self.control.load
         used = load.blocks_used / load.blocks if load and load.blocks else 0.0
         predicted = self.control.predict_memory()
@@ -150,16 +152,16 @@
             "pace_ms": self.control.read_pace_ms(),
             "queue_wait_ms": self.control.predict_wait_ms(),
             "age_ms": load.age_ms if load else 0,
-            "prefixes": self.prefixes.list_recent(_PREFIXES_REPORTED),
+            "prefixes": self.prefixes.list_recent(_MAX_REPORTED_PREFIXES),
         }
 
     def abandon_orphans(self) -> None:
         """Cancel generations that nobody has read for too long.
 
-        A generation that may run only once goes on: its work is billed, and
-        its customer can still fetch it. So does an adopted one, of which
-        nobody here knows whether it may be repeated, and one that another
-        run of the agent may read.
+        A generation that is not repeatable runs on: its work is billed, and
+        its customer can still fetch it. So does an adopted one, which may
+        not be repeatable, and one that another run of the agent may be
+        reading.
         """
         for generation in self.table.list_running():
             if generation.shared or not generation.repeatable:
@@ -172,13 +174,12 @@
                 )
                 generation.cancel()
 
-    def note_pause(self) -> None:
-        """Leave the streams of before a long pause to run to their ends.
+    def mark_running_shared(self) -> None:
+        """Let the running streams run to their ends after a long pause.
 
-        Entries gave this run up while it was paused, and a later run may
-        have adopted its streams. They look like orphans here; cancelled as
-        such, their callers would see a stream break off that the later run
-        is delivering.
+        While this process was paused, entries gave it up, and a later run
+        may have adopted its streams. Here they look like orphans; cancelling
+        them would cut off answers that the later run is delivering.
         """
         for generation in self.table.list_running():
             generation.shared = True
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_feeds.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_feeds.py
@@ -1,4 +1,4 @@
-"""What one entry reads of one generation."""
+"""Sends the items of a generation to an entry, within a window."""
 
 from collections import abc
 import typing
@@ -10,10 +10,11 @@
 
 
 class CallFeed:
-    """Position of a reader in a generation, with a limited window.
+    """Position of one reader in a generation, with a limited window.
 
-    Items beyond the window stay at the agent until the entry acknowledges,
-    so a slow caller fills neither the connection nor the entry's memory.
+    Items beyond the window stay at the agent until the entry acknowledges
+    earlier ones, so that a slow caller fills up neither the connection nor
+    the entry's memory.
     """
 
     def __init__(
@@ -26,7 +27,7 @@
     ) -> None:
         """Read ``generation`` after item ``after`` for call ``call``.
 
-        ``notify`` is called with the feed when there is something to send.
+        ``notify`` is called with the feed when it may have items to send.
         """
         self.call: typing.Final = call
         self.generation: typing.Final = generation
@@ -37,17 +38,17 @@
         generation.subscribe(self.notify)
 
     def notify(self) -> None:
-        """Mark the feed as having something to send."""
+        """Report that the feed may have something to send."""
         self._notify(self)
 
     def acknowledge(self, through: int) -> None:
-        """Note that the entry passed on all items through a number."""
+        """Record that the entry has delivered all items up to ``through``."""
         if through > self._acknowledged:
             self._acknowledged = min(through, self._sent)
             self.notify()
 
-    def take_run(self) -> typing.Optional[messages.Run]:
-        """Return the items that may be sent now, or None."""
+    def take_items(self) -> typing.Optional[messages.Run]:
+        """Return the items that may be sent now, or None if there are none."""
         room = self._acknowledged + self._window - self._sent
         if room <= 0 or self._sent >= self.generation.count_items():
             return None
@@ -63,12 +64,12 @@
         }
 
     def is_drained(self) -> bool:
-        """Tell whether the generation has ended and all was sent."""
+        """Tell whether the generation has ended and all items were sent."""
         return (
             self.generation.end is not None
             and self._sent >= self.generation.count_items()
         )
 
     def close(self, orphan_ms: int) -> None:
-        """Stop reading."""
+        """Stop reading the generation."""
         self.generation.unsubscribe(self.notify, orphan_ms)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -1,4 +1,4 @@
-"""Runs one call on the target, from admission to its end."""
+"""Runs a call at the target, from admission to its end."""
 
 import abc
 from collections import abc as collections_abc
@@ -17,84 +17,86 @@
 from gentianpoint_core.generated import events
 from gentianpoint_core.generated import messages
 
-__all__ = ("CallRunner", "StartOrder")
+__all__ = ("CallRunner", "OfferedCall")
 
 
-class StartOrder(typing.NamedTuple):
-    """What the runner needs of an offer, with deadlines made on arrival."""
+class OfferedCall(typing.NamedTuple):
+    """An offer, its sender, and its deadlines as counted from its arrival."""
 
     offer: messages.Offer
-    """The offer as it came."""
+    """The offer as received."""
     entry: str
     """Host of the entry that sent it."""
     start_by: deadlines.Deadline
-    """After this the call must not start."""
+    """The call must not start after this."""
     finish_by: deadlines.Deadline
-    """After this the call is cancelled."""
+    """The call is cancelled after this."""
 
 
 class CallRunner(abc.ABC):
-    """Runs calls of one kind of target."""
+    """Runs calls at one kind of target."""
 
     def __init__(self, control: admission.AdmissionControl) -> None:
-        """Admit calls by ``control``."""
+        """Admit calls with ``control``."""
         self._control: typing.Final = control
 
     @abc.abstractmethod
-    async def run_started(
+    async def call_target(
         self,
         generation: generations.Generation,
-        order: StartOrder,
+        call: OfferedCall,
         slot: admission_policy.Slot,
     ) -> generations.GenerationEnd:
-        """Call the target and add what it answers to the generation.
+        """Call the target and add the items of its answer to the generation.
 
-        Returns how it ended; raises :class:`errors.CallError` with
-        ``not_run`` when the target truly did not start.
+        Returns how it ended. Raises :class:`errors.CallError` with
+        ``not_run`` when the target certainly did not start.
         """
 
     @abc.abstractmethod
-    async def stop(self, generation: generations.Generation) -> None:
-        """Stop the work of a cancelled generation at the target."""
+    async def cancel_at_target(
+        self, generation: generations.Generation
+    ) -> None:
+        """Stop the target's work on a cancelled generation."""
 
-    async def take_up(
+    async def resume_adopted(
         self, generation: generations.Generation
     ) -> generations.GenerationEnd:
-        """Read on what an earlier run of the agent started.
+        """Read the rest of a generation that an earlier run started.
 
-        Returns how it ended, and never starts anything.
+        Returns how it ended. Never starts anything.
         """
         return generations.GenerationEnd(
             generations.OUTCOME_UNKNOWN,
-            "an earlier run of the agent had it; it may have run",
+            "an earlier run of the agent received the call; it may have run",
         )
 
     async def run_adopted(self, generation: generations.Generation) -> None:
-        """Take an adopted generation to its end."""
-        end = await self._work_or_cancel(
+        """Run an adopted generation to its end."""
+        end = await self._run_until_cancelled(
             generation,
-            functools.partial(self.take_up, generation),
+            functools.partial(self.resume_adopted, generation),
             deadlines.NO_DEADLINE,
         )
         self._log_end(generation, "", end)
         generation.finish(end)
 
     async def run(
-        self, generation: generations.Generation, order: StartOrder
+        self, generation: generations.Generation, call: OfferedCall
     ) -> None:
-        """Run the call to its end; the generation tells the outcome."""
+        """Run the call to its end and set the generation's outcome."""
         tracer = telemetry.get_tracer()
-        context = telemetry.use_trace_parent(order.offer["trace"])
+        context = telemetry.use_trace_parent(call.offer["trace"])
         with tracer.start_as_current_span("agent call", context=context):
-            end = await self._work_or_cancel(
+            end = await self._run_until_cancelled(
                 generation,
-                functools.partial(self._admit_and_run, generation, order),
-                order.finish_by,
+                functools.partial(self._admit_and_run, generation, call),
+                call.finish_by,
             )
-        self._log_end(generation, order.entry, end)
+        self._log_end(generation, call.entry, end)
         generation.finish(end)
 
-    async def _work_or_cancel(
+    async def _run_until_cancelled(
         self,
         generation: generations.Generation,
         work: collections_abc.Callable[
@@ -110,7 +112,7 @@
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(run_to_end)
-            with trio.CancelScope(deadline=finish_by.at) as in_time:
+            with trio.CancelScope(deadline=finish_by.at) as deadline_scope:
                 await generation.wait_cancelled()
             nursery.cancel_scope.cancel()
         if outcome:
@@ -119,11 +121,11 @@
             return generations.GenerationEnd(
                 generations.NOT_RUN, "the offer was withdrawn"
             )
-        await self.stop(generation)
-        if in_time.cancelled_caught:
+        await self.cancel_at_target(generation)
+        if deadline_scope.cancelled_caught:
             return generations.GenerationEnd(
                 generations.INCOMPLETE,
-                "the caller's deadline was past",
+                "the caller's deadline has passed",
                 completion_tokens=generation.count_items(),
             )
         return generations.GenerationEnd(
@@ -133,9 +135,9 @@
         )
 
     async def _admit_and_run(
-        self, generation: generations.Generation, order: StartOrder
+        self, generation: generations.Generation, call: OfferedCall
     ) -> generations.GenerationEnd:
-        offer = order.offer
+        offer = call.offer
         profile = admission_policy.CallProfile(
             offer["customer"],
             offer["weight"],
@@ -143,61 +145,62 @@
             offer["priority"],
             offer["request"]["prompt"],
             offer["request"]["max_tokens"],
-            order.start_by,
+            call.start_by,
         )
         tracer = telemetry.get_tracer()
         waiting = tracer.start_span("wait for admission")
         try:
             async with self._control.enter(profile) as slot:
                 waiting.end()
-                self._check_start(generation, order)
+                self._mark_started(generation, call)
                 with tracer.start_as_current_span("target stream"):
-                    return await self.run_started(generation, order, slot)
+                    return await self.call_target(generation, call, slot)
         except errors.CallError as error:
             return generations.GenerationEnd(
                 error.code, error.reason, error.retry_after_ms
             )
 
-    def _check_start(
-        self, generation: generations.Generation, order: StartOrder
+    def _mark_started(
+        self, generation: generations.Generation, call: OfferedCall
     ) -> None:
         if generation.is_cancelled():
-            # The turn came in the same moment as the cancel, whose task has
-            # not run yet; a customer who cancelled must not be billed.
+            # The call was admitted in the same instant as it was cancelled,
+            # and the task that handles the cancel has not run yet. A
+            # customer who cancelled must not be billed.
             raise errors.CallError(
                 errors.NOT_RUN,
                 "the offer was withdrawn",
                 step="start generation",
             )
-        self._check_start_deadline(generation, order)
+        self._check_start_deadline(generation, call)
         generation.started = True
         logs.log_event(
             events.GENERATION_STARTED,
             generation=generation.identifier,
-            entry=order.entry,
+            entry=call.entry,
             repeatable=generation.repeatable,
         )
 
     def _check_start_deadline(
-        self, generation: generations.Generation, order: StartOrder
+        self, generation: generations.Generation, call: OfferedCall
     ) -> None:
-        """Refuse to start past the deadline.
+        """Refuse to start after the deadline.
 
-        A process that was paused wakes up here long after the entry has
-        given the call up and perhaps had it run elsewhere. A caller would
-        notice a billed report that ran twice. The check stands right before
-        the target is called, with nothing to wait for in between.
+        A process that was paused may resume here long after the entry gave
+        the call up and perhaps had it run elsewhere; the customer would be
+        billed for two runs. Nothing is awaited between this check and the
+        call to the target.
         """
-        if order.start_by.is_past():
+        if call.start_by.is_past():
             logs.log_event(
                 events.START_TOO_LATE,
                 generation=generation.identifier,
-                entry=order.entry,
+                entry=call.entry,
                 repeatable=generation.repeatable,
             )
             raise errors.CallError(
                 errors.NOT_RUN,
-                "the deadline to start was past",
+                "the deadline to start has passed",
                 step="start generation",
                 retry_after_ms=1,
             )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -1,10 +1,11 @@
-"""Orders to the engine: it shall hold what the service resource declares.
+"""Reconciles an engine with what its service resource declares.
 
-The task compares what the engine reports with what is declared, and puts
-right what differs, whatever the reason: a new version, a service that is to
-be unloaded, another role, an engine that was restarted, or an order of
-another agent that an engine took although it was old. Before an order the
-target takes no new calls and those running end, so that it cuts nothing.
+A task compares the engine's load report with the declared state and sends an
+order for any difference, whatever its cause: a new version, a service that is
+to be unloaded, another role, a restarted engine, or an outdated order from
+another agent that the engine accepted. Before an order the target stops
+accepting calls and waits for the running ones to end, so that the order
+interrupts none.
 """
 
 from collections import abc
@@ -24,37 +25,44 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 
-__all__ = ("EngineOrders",)
+__all__ = ("EngineReconciler",)
 
 _POLL_S: typing.Final = 0.1
-_PAUSE_S: typing.Final = 0.5
-_POSTPONE_S: typing.Final = 5.0
-_CLAIM_WITHIN_S: typing.Final = 2.0
-_TAKE_EFFECT_MS: typing.Final = 3000
-_REPLICAS_A_TURN: typing.Final = 4
-"""Of this many replicas one may be away for an order at a time."""
-_HOLDS: typing.Final[abc.Mapping[str, str]] = {
-    wanted_states.LOAD: "the target loads another version",
-    wanted_states.ROLE: "the target changes its role",
+"""Interval at which the engine's state is checked, in seconds."""
+_RETRY_DELAY_S: typing.Final = 0.5
+"""Shortest delay after a failed order, in seconds."""
+_POSTPONE_DELAY_S: typing.Final = 5.0
+"""Time for which an order that could not drain is postponed, in seconds."""
+_CLAIM_TIMEOUT_S: typing.Final = 2.0
+"""Time to wait for the claim before the log counts as out, in seconds."""
+_EFFECT_TIMEOUT_MS: typing.Final = 3000
+"""Time in which an order must show in the load report, in milliseconds."""
+_REPLICAS_PER_TURN: typing.Final = 4
+"""Replicas of a service for each one that may carry out an order at a time."""
+_SUSPENSION_REASONS: typing.Final[abc.Mapping[str, str]] = {
+    wanted_states.LOAD: "the target is loading another version",
+    wanted_states.ROLE: "the target is changing its role",
     wanted_states.UNLOAD: "the service is declared unloaded",
 }
-_EMPTY: typing.Final = "the target has nothing loaded yet"
+"""Reason with which calls are refused during each kind of order."""
+_NOTHING_LOADED: typing.Final = "the target has nothing loaded yet"
+"""Reason with which calls are refused until the first load."""
 
 
-class _Task(typing.NamedTuple):
-    """One order that is needed, and for what."""
+class _PendingOrder(typing.NamedTuple):
+    """An order that is needed, and the states it was derived from."""
 
     order: str
     wanted: wanted_states.WantedState
     load: ports.EngineLoad
 
-    def is_first_load(self) -> bool:
-        """Tell whether the engine is of no use until it is done."""
+    def loads_empty_engine(self) -> bool:
+        """Tell whether the engine can't serve anything until it is done."""
         return self.order == wanted_states.LOAD and not self.load.model
 
 
-class EngineOrders:
-    """Keeps one engine at what is declared."""
+class EngineReconciler:
+    """Keeps one engine in its declared state."""
 
     def __init__(
         self,
@@ -65,9 +73,10 @@
         turns: order_turns.TurnClient,
         reads: weight_reads.WeightReads,
     ) -> None:
-        """Order ``engine`` under ``lease``.
+        """Send orders to ``engine`` under ``lease``.
 
-        ``turns`` are those of the service's targets to be away.
+        ``turns`` limits how many of the service's targets are out of
+        service at a time.
         """
         self._state: typing.Final = state
         self._engine: typing.Final = engine
@@ -79,40 +88,42 @@
         self._checks_fences: typing.Final = settings.fencing == "checked"
 
     async def run(self) -> None:
-        """Put the engine right until another agent holds the target."""
+        """Reconcile the engine until another agent claims the target."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._lease.claim)
             nursery.start_soon(self._stream.tail)
             nursery.start_soon(self._turns.keep_renewed)
-            nursery.start_soon(self._reads.keep_turn_up)
-            await self._order_until_superseded()
+            nursery.start_soon(self._reads.keep_turn_renewed)
+            await self._reconcile_until_superseded()
             nursery.cancel_scope.cancel()
         logs.log_event(
             events.LEASE_LAPSED,
             target=self._state.settings.target,
             fence=self._lease.fence,
-            reason="a later claim or a hole was found",
+            reason="a later claim or a gap in the log was found",
         )
 
-    async def _order_until_superseded(self) -> None:
+    async def _reconcile_until_superseded(self) -> None:
         while not self._lease.superseded:
-            task = self._find_task()
-            self._hold_if_useless()
-            if task is None:
+            pending = self._find_pending_order()
+            self._update_admission()
+            if pending is None:
                 await trio.sleep(_POLL_S)
                 continue
             try:
-                await self._put_right(task)
+                await self._carry_out(pending)
             except ports.PortError as error:
-                self._log_refusal(error)
-                await trio.sleep(max(_PAUSE_S, error.retry_after_ms / 1000))
+                self._log_failure(error)
+                await trio.sleep(
+                    max(_RETRY_DELAY_S, error.retry_after_ms / 1000)
+                )
             finally:
-                self._hold_if_useless()
-                await self._reads.give_turn_back()
+                self._update_admission()
+                await self._reads.release_turn()
                 await self._turns.release()
-        self._state.release_hold()
+        self._state.resume_admission()
 
-    def _log_refusal(self, error: ports.PortError) -> None:
+    def _log_failure(self, error: ports.PortError) -> None:
         event = events.ORDER_REFUSED
         if isinstance(error, order_stream.LogUnavailableError):
             event = events.LOG_UNAVAILABLE
@@ -126,156 +137,173 @@
             fence=self._lease.fence,
         )
 
-    def _find_task(self) -> typing.Optional[_Task]:
+    def _find_pending_order(self) -> typing.Optional[_PendingOrder]:
         load = self._state.control.load
-        # An engine that died while it loaded would be waited for, with a
-        # turn that others need, by what it last reported.
+        # The last report of an engine that died while loading still says
+        # that it loads. Waiting for it would keep a turn that others need.
         if load is None or load.loading or self._state.is_report_stale():
             return None
         wanted = self._state.service.read_wanted()
         order = wanted_states.choose_order(wanted, load)
-        return _Task(order, wanted, load) if order else None
+        return _PendingOrder(order, wanted, load) if order else None
 
-    def _is_still_wanted(self, task: _Task) -> bool:
-        found = None if self._lease.superseded else self._find_task()
-        return found is not None and found[:2] == task[:2]
+    def _is_still_wanted(self, pending: _PendingOrder) -> bool:
+        current = (
+            None if self._lease.superseded else self._find_pending_order()
+        )
+        return current is not None and current[:2] == pending[:2]
 
-    def _hold_if_useless(self) -> None:
-        """Refuse calls at once that the engine would refuse or cut."""
+    def _update_admission(self) -> None:
+        """Refuse calls up front that the engine would refuse or interrupt."""
         load = self._state.control.load
         wanted = self._state.service.read_wanted()
         if wanted.unloaded:
-            self._state.hold(_HOLDS[wanted_states.UNLOAD])
+            self._state.suspend_admission(
+                _SUSPENSION_REASONS[wanted_states.UNLOAD]
+            )
         elif load is not None and load.loading:
-            # An earlier run of this agent gave an order that is still being
-            # carried out; calls taken now would be cut by its effect.
-            self._state.hold(_HOLDS[wanted_states.LOAD])
+            # An order of an earlier run of this agent is still being carried
+            # out; its effect would interrupt calls accepted now.
+            self._state.suspend_admission(
+                _SUSPENSION_REASONS[wanted_states.LOAD]
+            )
         elif wanted.model and load is not None and not load.model:
-            self._state.hold(_EMPTY)
+            self._state.suspend_admission(_NOTHING_LOADED)
         else:
-            self._state.release_hold()
+            self._state.resume_admission()
 
-    async def _put_right(self, task: _Task) -> None:
+    async def _carry_out(self, pending: _PendingOrder) -> None:
         size = 0
-        if task.order == wanted_states.LOAD:
-            size = await self._reads.measure(task.wanted, task.load)
-        if task.is_first_load():
-            await self._load_first(task, size)
+        if pending.order == wanted_states.LOAD:
+            size = await self._reads.compute_load_size(
+                pending.wanted, pending.load
+            )
+        if pending.loads_empty_engine():
+            await self._load_empty_engine(pending, size)
             return
-        if not await self._has_claim():
+        if not await self._wait_claimed():
             return
-        is_wanted = functools.partial(self._is_still_wanted, task)
+        is_wanted = functools.partial(self._is_still_wanted, pending)
         if (
-            task.order != wanted_states.UNLOAD
-            and not await self._turns.acquire(1, self._count_turns, is_wanted)
+            pending.order != wanted_states.UNLOAD
+            and not await self._turns.acquire(
+                1, self._compute_turn_limit, is_wanted
+            )
         ):
             return
-        # The target serves while others read: away, it would wait for its
-        # turn with nothing to do.
-        if not await self._reads.wait_room(size, is_wanted):
+        # The target keeps serving while others read; out of service, it
+        # would only sit idle until its turn.
+        if not await self._reads.wait_for_room(size, is_wanted):
             return
-        self._state.hold(_HOLDS[task.order])
-        if await self._drain(task) and await self._reads.take_turn(
+        self._state.suspend_admission(_SUSPENSION_REASONS[pending.order])
+        if await self._drain(pending) and await self._reads.acquire_turn(
             size, is_wanted
         ):
-            await self._send_under_lease(task, size)
+            await self._send_under_lease(pending, size)
 
-    async def _has_claim(self) -> bool:
-        """Wait a moment for the claim; False while the log is out."""
-        with trio.move_on_after(_CLAIM_WITHIN_S):
+    async def _wait_claimed(self) -> bool:
+        """Wait briefly for the claim; False while the log is out."""
+        with trio.move_on_after(_CLAIM_TIMEOUT_S):
             await self._lease.wait_claimed()
         return self._lease.fence > 0
 
-    def _count_turns(self) -> int:
-        return self._state.service.replicas // _REPLICAS_A_TURN
+    def _compute_turn_limit(self) -> int:
+        return self._state.service.replicas // _REPLICAS_PER_TURN
 
-    async def _drain(self, task: _Task) -> bool:
-        """Wait until no call runs; False when that takes too long."""
+    async def _drain(self, pending: _PendingOrder) -> bool:
+        """Wait until no call is running; False if that takes too long."""
         settings = self._state.settings
         drain_by = deadlines.make_deadline(settings.drain_within_ms)
         while self._state.table.list_running():
-            if not self._is_still_wanted(task):
+            if not self._is_still_wanted(pending):
                 return False
             if drain_by.is_past():
-                # A stream without an end would keep the turn, and with it
-                # all targets at their old version, while nothing new is
-                # taken here.
+                # A stream that never ends would keep the turn and so hold
+                # all other targets at their old version, while this one
+                # accepts no calls.
                 logs.log_event(
                     events.ORDER_POSTPONED,
                     target=settings.target,
-                    order=task.order,
+                    order=pending.order,
                     running=len(self._state.table.list_running()),
                 )
-                await self._serve_on()
+                await self._postpone()
                 return False
             await trio.sleep(_POLL_S)
         return True
 
-    async def _serve_on(self) -> None:
-        self._hold_if_useless()
+    async def _postpone(self) -> None:
+        self._update_admission()
         await self._turns.release()
-        await trio.sleep(_POSTPONE_S)
+        await trio.sleep(_POSTPONE_DELAY_S)
 
-    async def _load_first(self, task: _Task, size: int) -> None:
-        """Load into an engine that holds nothing, also without the log."""
-        is_wanted = functools.partial(self._is_still_wanted, task)
-        if not await self._has_claim():
-            await self._load_without_turn(task, size)
+    async def _load_empty_engine(
+        self, pending: _PendingOrder, size: int
+    ) -> None:
+        """Load into an engine that holds nothing, with or without the log."""
+        is_wanted = functools.partial(self._is_still_wanted, pending)
+        if not await self._wait_claimed():
+            await self._load_without_turn(pending, size)
             return
         try:
-            if await self._reads.take_turn(size, is_wanted):
-                await self._send_under_lease(task, size)
+            if await self._reads.acquire_turn(size, is_wanted):
+                await self._send_under_lease(pending, size)
         except order_stream.LogUnavailableError:
-            await self._load_without_turn(task, size)
+            await self._load_without_turn(pending, size)
 
-    async def _load_without_turn(self, task: _Task, size: int) -> None:
+    async def _load_without_turn(
+        self, pending: _PendingOrder, size: int
+    ) -> None:
         """Load while the log can't be used.
 
-        A replaced engine would else be of no use until the log is back. What
-        is loaded into an empty engine takes nothing away, and a later holder
-        puts it right; so neither a turn nor a lease is needed for safety,
-        only for the weight store's rate, which a random wait spares.
+        A replaced engine would otherwise be useless until the log is back.
+        Loading into an empty engine interrupts nothing, and a later lease
+        holder corrects what was loaded, so safety needs neither a turn nor a
+        lease. Only the weight store's rate needs protection, which a random
+        delay provides.
         """
         service = self._state.service
-        await trio.sleep(self._reads.choose_wait_s(size, service.replicas))
+        await trio.sleep(self._reads.choose_delay_s(size, service.replicas))
         if not self._checks_fences:
-            await self._lease.wait_old_ended()
+            await self._lease.wait_previous_ended()
         if await self._stream.is_reachable():
             return
-        if self._is_still_wanted(task):
+        if self._is_still_wanted(pending):
             logs.log_event(
                 events.LOADED_WITHOUT_TURN,
                 target=self._state.settings.target,
                 size=size,
             )
-            await self._send(task)
+            await self._send(pending)
 
-    async def _send_under_lease(self, task: _Task, size: int) -> None:
+    async def _send_under_lease(
+        self, pending: _PendingOrder, size: int
+    ) -> None:
         if not self._checks_fences:
-            await self._lease.wait_old_ended()
+            await self._lease.wait_previous_ended()
         if not await self._lease.renew():
             return
-        if not self._is_still_wanted(task):
+        if not self._is_still_wanted(pending):
             return
-        # A process that was paused since the renewal finds its lease past
-        # here, or its turn; its order would undo that of the next holder,
-        # which a caller would notice as an answer of an old version, or be
-        # one read too many for the weight store.
-        if not self._lease.is_held() or not self._reads.may_read(size):
+        # A process that was paused since the renewal finds its lease or its
+        # turn expired here. Its order would undo that of the next holder, so
+        # that callers get answers of an old version, or add a read beyond
+        # the weight store's rate.
+        if not self._lease.is_held() or not self._reads.holds_turn(size):
             logs.log_event(
                 events.LEASE_LAPSED,
                 target=self._state.settings.target,
                 fence=self._lease.fence,
-                reason="the lease or the turn ended before the order",
+                reason="the lease or the turn ended before the order was sent",
             )
             return
-        await self._send(task)
+        await self._send(pending)
 
-    async def _send(self, task: _Task) -> None:
-        wanted = task.wanted
+    async def _send(self, pending: _PendingOrder) -> None:
+        wanted = pending.wanted
         order = ports.EngineOrder(
             self._lease.fence,
-            task.order,
+            pending.order,
             wanted.model,
             wanted.adapter,
             wanted.version,
@@ -286,8 +314,8 @@
         except ports.PortError as error:
             if not error.took_effect:
                 raise
-            # The engine may be carrying the order out. Calls taken now would
-            # die with the old model, so it is waited for all the same.
+            # The engine may be carrying out the order. Calls accepted now
+            # would be cut off with the old model, so wait all the same.
             logs.log_event(
                 events.ORDER_ANSWER_LOST,
                 step=error.step,
@@ -297,20 +325,23 @@
             )
         else:
             logs.log_event(events.ORDER_SENT, **order._asdict())
-        await self._wait_fulfilled(task)
+        await self._wait_fulfilled(pending)
 
-    async def _wait_fulfilled(self, task: _Task) -> None:
-        # Reports lag: for a while they show the state before the order.
-        effect_by = deadlines.make_deadline(_TAKE_EFFECT_MS)
+    async def _wait_fulfilled(self, pending: _PendingOrder) -> None:
+        # Reports lag: for a while they still show the state before the order.
+        effect_by = deadlines.make_deadline(_EFFECT_TIMEOUT_MS)
         while not self._state.is_report_stale() and not effect_by.is_past():
             await trio.sleep(_POLL_S)
             load = self._state.control.load
             if load is None or load.loading:
-                effect_by = deadlines.make_deadline(_TAKE_EFFECT_MS)
-            elif wanted_states.choose_order(task.wanted, load) != task.order:
+                effect_by = deadlines.make_deadline(_EFFECT_TIMEOUT_MS)
+            elif (
+                wanted_states.choose_order(pending.wanted, load)
+                != pending.order
+            ):
                 logs.log_event(
                     events.ORDER_FULFILLED,
-                    order=task.order,
-                    **task.wanted._asdict(),
+                    order=pending.order,
+                    **pending.wanted._asdict(),
                 )
                 return
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
@@ -18,24 +18,31 @@
 
 __all__ = ("EngineRunner",)
 
-_RESUME_TRIES: typing.Final = 5
-_RESUME_PAUSE_S: typing.Final = 0.2
-_CANCEL_TRIES: typing.Final = 3
+_RESUME_ATTEMPTS: typing.Final = 5
+"""Attempts to resume a broken stream before it counts as lost."""
+_RETRY_DELAY_S: typing.Final = 0.2
+"""Delay between attempts to resume or cancel a stream, in seconds."""
+_CANCEL_ATTEMPTS: typing.Final = 3
+"""Attempts to cancel a stream."""
 _RETRY_AFTER_MS: typing.Final = 1000
-_PACE_SHARE: typing.Final = 0.1
+"""Retry delay sent with a call that did not run, in milliseconds."""
+_GAP_SMOOTHING: typing.Final = 0.1
+"""Weight of a new gap in the running mean of gaps between tokens."""
 _STALL_FACTOR: typing.Final = 2.0
-_BURST_GAP_MS: typing.Final = 2.0
+"""Multiple of the mean gap above which a gap is a stall."""
+_REPLAY_GAP_MS: typing.Final = 2.0
+"""Largest gap between tokens generated earlier, in milliseconds."""
 
 
 class _StreamLostError(Exception):
     """The engine does not know the stream, or can't be reached."""
 
 
-class _Pace:
-    """The expected time between tokens of one stream.
+class _TokenTimer:
+    """Measures gaps and stalls between the tokens of one stream.
 
-    The expectation is a running mean of the gaps; a gap above twice of it is
-    a stall, and only its part beyond the expectation counts.
+    The expected gap is a running mean. A gap of more than twice the expected
+    one is a stall, of which only the part beyond the expected gap counts.
     """
 
     def __init__(
@@ -45,37 +52,37 @@
         self._instruments: typing.Final = instruments
         self._last_ms: typing.Optional[float] = None
         self._mean_ms: typing.Optional[float] = None
-        self.is_burst = False
-        """True while tokens come that the engine had generated before."""
+        self.is_replaying = False
+        """True while tokens arrive that the engine generated earlier."""
 
     def note_token(self) -> None:
         """Record the gap since the last token.
 
-        Tokens of before come as fast as the link carries them. Taken for
-        the engine's pace, they would make it look a hundred times faster
-        than it is, and every later token a stall.
+        Tokens generated earlier arrive as fast as the link carries them.
+        Counted as the engine's pace, they would make it look a hundred times
+        faster than it is and every later token look like a stall.
         """
         now_ms = deadlines.read_clock_ms()
         gap_ms = None if self._last_ms is None else now_ms - self._last_ms
         self._last_ms = now_ms
         if gap_ms is None:
             return
-        if self.is_burst:
-            self.is_burst = gap_ms <= _BURST_GAP_MS
+        if self.is_replaying:
+            self.is_replaying = gap_ms <= _REPLAY_GAP_MS
             return
-        self._note_gap(gap_ms)
+        self._record_gap(gap_ms)
 
-    def _note_gap(self, gap_ms: float) -> None:
+    def _record_gap(self, gap_ms: float) -> None:
         self._instruments.record_gap(self._service, gap_ms)
         mean_ms = gap_ms if self._mean_ms is None else self._mean_ms
         if gap_ms > _STALL_FACTOR * mean_ms:
             self._instruments.record_stall(self._service, gap_ms - mean_ms)
             return
-        self._mean_ms = mean_ms + _PACE_SHARE * (gap_ms - mean_ms)
+        self._mean_ms = mean_ms + _GAP_SMOOTHING * (gap_ms - mean_ms)
 
 
 class EngineRunner(call_runner.CallRunner):
-    """Streams generations from one engine, resuming cut streams."""
+    """Runs generations on one engine and resumes broken streams."""
 
     def __init__(
         self,
@@ -90,90 +97,94 @@
         self._service: typing.Final = service
         self._instruments: typing.Final = instruments
 
-    async def run_started(
+    async def call_target(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
         slot: admission_policy.Slot,
     ) -> generations.GenerationEnd:
-        """Stream the answer; a cut stream is resumed after its last token."""
-        pace = _Pace(self._service.name, self._instruments)
-        request = self._make_request(generation, order)
+        """Stream the answer, resuming a broken stream after its last token."""
+        timer = _TokenTimer(self._service.name, self._instruments)
+        request = self._make_request(generation, call)
         try:
-            end = await self._read_first_stream(
-                generation, request, slot, pace
-            )
+            end = await self._start_and_read(generation, request, slot, timer)
             while end is None:
-                end = await self._resume(generation, slot, pace)
+                end = await self._resume(generation, slot, timer)
             return end
         except _StreamLostError as error:
-            return self._describe_loss(generation, str(error))
+            return self._make_lost_end(generation, str(error))
 
-    async def take_up(
+    async def resume_adopted(
         self, generation: generations.Generation
     ) -> generations.GenerationEnd:
         """Read an adopted stream from its first token to its end.
 
-        All tokens are asked for, also those that were delivered, since any
-        entry may ask for those after any number.
+        Tokens that were delivered before are read too, since an entry may
+        resume after any token.
         """
-        pace = _Pace(self._service.name, self._instruments)
-        pace.is_burst = True
+        timer = _TokenTimer(self._service.name, self._instruments)
+        timer.is_replaying = True
         with self._control.hold_running(_make_profile(generation)) as slot:
             try:
                 end = None
                 while end is None:
-                    end = await self._resume(generation, slot, pace)
+                    end = await self._resume(generation, slot, timer)
             except _StreamLostError as error:
-                return self._describe_loss(generation, str(error))
+                return self._make_lost_end(generation, str(error))
         if end.reason == generations.CANCELLED:
-            # A cancel of ours ends this task before the engine's word comes.
-            # An earlier run that took it for an orphan did it; the caller
-            # would be told that it cancelled what it did not.
-            return self._describe_loss(generation, "another run cancelled it")
+            # A cancel by this run ends the task before the engine reports
+            # it, so an earlier run cancelled the stream as an orphan. Ending
+            # with ``cancelled`` would tell the caller that it had cancelled.
+            return self._make_lost_end(
+                generation, "an earlier run of the agent cancelled it"
+            )
         return end
 
     def _make_request(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
     ) -> ports.StreamRequest:
         spec = self._service.spec
-        asked = order.offer["request"]["max_tokens"]
+        requested = call.offer["request"]["max_tokens"]
         limit = spec.get("max_tokens", 0)
-        most = min(asked, limit) if asked and limit else asked or limit
+        max_tokens = (
+            min(requested, limit)
+            if requested and limit
+            else requested or limit
+        )
         model = spec.get("model", "")
         adapter = spec.get("adapter", "")
         version = spec.get("version", "")
         load = self._control.load
         if load is not None and load.model == model:
-            # Until the target's turn to load comes it serves the version it
-            # holds; asked for the declared one, the engine would refuse all.
+            # The target serves the version it holds until its turn to load
+            # comes; the engine would refuse calls for the declared version.
             adapter, version = load.adapter, load.version
         return ports.StreamRequest(
             generation.identifier,
-            order.offer["request"]["prompt"],
-            most,
-            order.offer["priority"],
+            call.offer["request"]["prompt"],
+            max_tokens,
+            call.offer["priority"],
             model,
             adapter,
             version,
         )
 
-    async def _read_first_stream(
+    async def _start_and_read(
         self,
         generation: generations.Generation,
         request: ports.StreamRequest,
         slot: admission_policy.Slot,
-        pace: _Pace,
+        timer: _TokenTimer,
     ) -> typing.Optional[generations.GenerationEnd]:
         try:
             async with self._engine.start_stream(request) as stream:
-                return await self._read(generation, stream, slot, pace)
+                return await self._read_events(generation, stream, slot, timer)
         except ports.PortError as error:
             if error.took_effect or generation.count_items():
-                # The start may have taken effect although its answer was
-                # lost: the stream is looked for under its identifier.
+                # The stream may have started although the answer was lost,
+                # so it is looked up by its identifier.
                 return None
             raise errors.CallError(
                 errors.NOT_RUN,
@@ -187,10 +198,10 @@
         self,
         generation: generations.Generation,
         slot: admission_policy.Slot,
-        pace: _Pace,
+        timer: _TokenTimer,
     ) -> typing.Optional[generations.GenerationEnd]:
         reason = ""
-        for _ in range(_RESUME_TRIES):
+        for _ in range(_RESUME_ATTEMPTS):
             after = generation.count_items()
             logs.log_event(
                 events.GENERATION_RESUMED,
@@ -202,23 +213,25 @@
                 async with self._engine.resume_stream(
                     generation.identifier, after
                 ) as stream:
-                    return await self._read(generation, stream, slot, pace)
+                    return await self._read_events(
+                        generation, stream, slot, timer
+                    )
             except ports.PortError as error:
                 reason = str(error)
                 if generation.count_items() > after:
                     return None
-            await trio.sleep(_RESUME_PAUSE_S)
+            await trio.sleep(_RETRY_DELAY_S)
         raise _StreamLostError(reason)
 
-    async def _read(
+    async def _read_events(
         self,
         generation: generations.Generation,
         stream: typing.AsyncIterator[ports.StreamEvent],
         slot: admission_policy.Slot,
-        pace: _Pace,
+        timer: _TokenTimer,
     ) -> typing.Optional[generations.GenerationEnd]:
         async for event in stream:
-            generation.found = True
+            generation.confirmed = True
             if event.end:
                 slot.note_end(event.end, event.prompt_tokens)
                 return generations.GenerationEnd(
@@ -227,18 +240,18 @@
                     completion_tokens=event.completion_tokens,
                 )
             if event.preempted:
-                self._note_preemption(generation, slot)
+                self._record_preemption(generation, slot)
             elif event.number == generation.count_items() + 1:
-                pace.note_token()
-                slot.note_token(is_timed=not pace.is_burst)
+                timer.note_token()
+                slot.note_token(is_timed=not timer.is_replaying)
                 generation.add_text(event.text)
             elif event.number > generation.count_items():
-                # A hole can't be filled from this stream; reading on would
-                # give the caller an answer with words missing.
+                # This stream can't fill the gap; reading on would give the
+                # caller an answer with missing words.
                 return None
         return None
 
-    def _note_preemption(
+    def _record_preemption(
         self, generation: generations.Generation, slot: admission_policy.Slot
     ) -> None:
         slot.note_preemption()
@@ -247,7 +260,7 @@
             events.GENERATION_PREEMPTED, generation=generation.identifier
         )
 
-    def _describe_loss(
+    def _make_lost_end(
         self, generation: generations.Generation, reason: str
     ) -> generations.GenerationEnd:
         count = generation.count_items()
@@ -257,20 +270,22 @@
             completion_tokens=count,
         )
 
-    async def stop(self, generation: generations.Generation) -> None:
-        """Cancel the stream, which would otherwise go on unread."""
-        for _ in range(_CANCEL_TRIES):
+    async def cancel_at_target(
+        self, generation: generations.Generation
+    ) -> None:
+        """Cancel the stream, which would otherwise run on unread."""
+        for _ in range(_CANCEL_ATTEMPTS):
             try:
                 await self._engine.cancel_stream(generation.identifier)
                 return
             except ports.PortError:
-                await trio.sleep(_RESUME_PAUSE_S)
+                await trio.sleep(_RETRY_DELAY_S)
 
 
 def _make_profile(
     generation: generations.Generation,
 ) -> admission_policy.CallProfile:
-    """Return what is known of a stream whose request was never seen."""
+    """Return a profile for a stream whose request this run never saw."""
     return admission_policy.CallProfile(
         generation.customer,
         1.0,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
@@ -1,8 +1,9 @@
-"""Serves the connections of entries.
+"""Serves the connections that entries open to this agent.
 
-One task reads a connection straight down; beside it one sends heartbeats,
-one gathers items for a few milliseconds and sends them in one message, and
-one sends load reports.
+Each connection has one task that reads and handles its messages in order.
+Further tasks send heartbeats, load reports, the notice that the agent is
+leaving, and the items of answers, gathered for a few milliseconds into one
+message.
 """
 
 import math
@@ -27,12 +28,15 @@
 __all__ = ("EntryConnection",)
 
 _MAX_WINDOW: typing.Final = 65536
-_MAX_NUMBER: typing.Final = 2**53
-_LEAVING_RETRY_MS: typing.Final = 500
+"""Largest window, in items, that an entry is granted for a call."""
+_MAX_INTEGER: typing.Final = 2**53
+"""Largest absolute value of an integer in a message."""
+_REFUSAL_RETRY_MS: typing.Final = 500
+"""Time after which an entry may retry refused work, in milliseconds."""
 
 
 class EntryConnection(agent_state.OpenConnection):
-    """One entry's connection and the calls on it."""
+    """One connection from an entry and the calls it carries."""
 
     def __init__(
         self,
@@ -43,8 +47,8 @@
         self._connection: typing.Final = connection
         self._state: typing.Final = state
         self._feeds: typing.Final[dict[int, call_feeds.CallFeed]] = {}
-        self._dirty: set[call_feeds.CallFeed] = set()
-        self._wake = trio.Event()
+        self._ready_feeds: set[call_feeds.CallFeed] = set()
+        self._items_ready = trio.Event()
         self._window = 1
         self._periods = report_periods.choose_periods(
             state.settings.report_ms, 0
@@ -52,50 +56,49 @@
         self._incarnation = ""
         self._scope: typing.Final = trio.CancelScope()
         self._ended: typing.Final = trio.Event()
-        self.told_leaving = False
+        self.leaving_sent = False
 
     async def serve(self) -> None:
-        """Serve the entry until the connection is lost."""
+        """Serve the entry until the connection is lost or replaced."""
         try:
             with self._scope:
                 await self._greet()
-                await self._serve_greeted()
+                await self._run_tasks()
         finally:
             self._state.connections.discard(self)
             for feed in self._feeds.values():
                 feed.close(self._state.settings.orphan_ms)
             self._ended.set()
 
-    async def _serve_greeted(self) -> None:
+    async def _run_tasks(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._connection.keep_alive, self._has_calls)
             nursery.start_soon(self._send_items)
             nursery.start_soon(self._send_reports)
-            nursery.start_soon(self._tell_leaving)
+            nursery.start_soon(self._send_leaving)
             await self._read_messages()
 
-    async def _supersede(self, incarnation: str) -> None:
-        """End older connections of the same run of an entry.
+    async def _close_older_connections(self, incarnation: str) -> None:
+        """Close older connections from the same run of the entry.
 
-        A connection that fell silent may still hold an offer that this agent
-        has not read. The entry, which gave the connection up, offers it
-        again on the new one, and may tell its caller that it did not run. A
-        caller would notice that it ran after all, if the old offer were read
-        later; so nothing of the old connection is read once the new one is
-        greeted.
+        A connection that fell silent may still hold an unread offer. The
+        entry has given that connection up: it offers the call again on the
+        new one, and may tell its caller that the first offer did not run.
+        Reading the old offer later would run it after all, so nothing more
+        is read from an old connection once the new one has been greeted.
         """
         self._incarnation = incarnation
         for other in tuple(self._state.connections):
-            if other.is_of(incarnation):
-                await other.end()
+            if other.belongs_to(incarnation):
+                await other.close()
         self._state.connections.add(self)
 
-    def is_of(self, incarnation: str) -> bool:
-        """Tell whether the connection is of a run of an entry."""
+    def belongs_to(self, incarnation: str) -> bool:
+        """Tell whether the connection is from this run of an entry."""
         return self._incarnation == incarnation
 
-    async def end(self) -> None:
-        """End the connection and wait until nothing of it is read."""
+    async def close(self) -> None:
+        """Close the connection and wait until nothing more is read."""
         self._scope.cancel()
         await self._ended.wait()
 
@@ -113,13 +116,13 @@
             newest, hello.get("oldest_version", newest)
         )
         if version is None:
-            await self._reject(f"protocol version {newest} is not spoken here")
+            await self._reject(f"protocol version {newest} is not supported")
         self._connection.peer = hello["peer"]
         self._window = min(max(1, hello["window"]), _MAX_WINDOW)
         self._periods = report_periods.choose_periods(
             self._state.settings.report_ms, hello["report_ms"]
         )
-        await self._supersede(hello["incarnation"])
+        await self._close_older_connections(hello["incarnation"])
         await self._connection.send(self._make_welcome(version))
         logs.log_event(
             events.CONNECTION_OPENED,
@@ -160,41 +163,44 @@
                     error.retry_after_ms,
                 )
 
-    def _refuse_message(
+    def _make_message_error(
         self, reason: str
     ) -> peer_connections.PeerConnectionError:
-        """Return the error that ends this connection only.
+        """Return an error that ends only this connection.
 
-        Any other error would leave the task of the connection and end the
-        agent's process, and with it the calls of all other entries.
+        Any other exception would propagate out of the connection's task and
+        end the agent's process, and with it the calls of all other entries.
         """
         return peer_connections.PeerConnectionError(
             "decode message", self._connection.peer, reason
         )
 
-    def _check(self, message: codec.MessageMap) -> None:
-        """Refuse numbers and headers that the code below can't work with.
+    def _validate(self, message: codec.MessageMap) -> None:
+        """Reject values that the message types allow but the agent can't use.
 
-        A number beyond 64 bits is not to be had as a float or in JSON, and
-        items before the first would be read from the end of a generation.
+        Integers beyond 64 bits can't be converted to a float or written as
+        JSON, and a negative item number would index a generation's items
+        from the end.
         """
         values = [*message.values(), *message.get("request", {}).values()]
         for value in values:
-            if isinstance(value, int) and abs(value) > _MAX_NUMBER:
-                raise self._refuse_message("a number is too large")
+            if isinstance(value, int) and abs(value) > _MAX_INTEGER:
+                raise self._make_message_error("an integer is too large")
         if message["type"] == "resume" and message["after"] < 0:
-            raise self._refuse_message("an item before the first is wanted")
+            raise self._make_message_error("the item number is negative")
         if message["type"] == "offer":
             if not math.isfinite(message["weight"]):
-                raise self._refuse_message("the weight is no finite number")
+                raise self._make_message_error("the weight is not finite")
             if any(len(row) != 2 for row in message["request"]["headers"]):
-                raise self._refuse_message("a header is no pair")
+                raise self._make_message_error(
+                    "a header is not a name-value pair"
+                )
 
     async def _handle(self, message: codec.MessageMap) -> None:
-        self._check(message)
+        self._validate(message)
         match message["type"]:
             case "offer":
-                await self._take_offer(typing.cast(messages.Offer, message))
+                await self._accept_offer(typing.cast(messages.Offer, message))
             case "prepare":
                 await self._prepare(typing.cast(messages.Prepare, message))
             case "resume":
@@ -218,9 +224,9 @@
                     f"an entry does not send {other}",
                 )
 
-    async def _take_offer(self, offer: messages.Offer) -> None:
+    async def _accept_offer(self, offer: messages.Offer) -> None:
         if offer["call"] in self._feeds:
-            # A call number seen twice must not start a second generation.
+            # A repeated call number must not start a second generation.
             return
         generation, is_new = self._open_generation(offer)
         logs.log_event(
@@ -232,11 +238,11 @@
             attached=not is_new,
         )
         if is_new:
-            # Nothing may be awaited before the call runs: if the answer
-            # below can't be sent, the entry offers the attempt again, which
-            # attaches it; a call that was never run would leave the caller
-            # waiting for ever.
-            self._state.start_call(generation, self._make_order(offer))
+            # Start the call before the first await. If sending the answer
+            # below fails, the entry offers the attempt again and is attached
+            # to this generation; were the call not running, its caller
+            # would wait forever.
+            self._state.start_call(generation, self._make_call(offer))
         self._attach(offer["call"], generation, 0)
         await self._connection.send(
             {
@@ -254,12 +260,12 @@
         table = self._state.table
         identifier = offer.get("generation", "")
         if identifier:
-            known = self._find(identifier, customer)
+            known = self._find_or_adopt(identifier, customer)
         else:
             known = table.find_attempt(offer["attempt"], customer)
         if known is not None:
             return known, False
-        self._require_taking_offer(identifier, customer)
+        self._require_accepting_offer(identifier, customer)
         if is_plain != self._state.is_plain():
             raise errors.CallError(
                 errors.INVALID_REQUEST,
@@ -275,34 +281,36 @@
         )
         return created, True
 
-    def _find(
+    def _find_or_adopt(
         self, identifier: str, customer: str
     ) -> typing.Optional[generations.Generation]:
         """Return a customer's generation, of this run or an earlier one.
 
-        What an earlier run gave out is looked for at the target, which may
-        have it although it did not list it: ended, or started late.
+        A generation of an earlier run is looked up at the target, which may
+        have it without having listed it: it had ended, or it started after
+        the list was made.
         """
         held = self._state.table.find(identifier, customer)
         return held or self._state.adopt_call(identifier, customer)
 
-    def _require_taking_offer(self, identifier: str, customer: str) -> None:
-        """Refuse an offer while nothing new is taken.
+    def _require_accepting_offer(self, identifier: str, customer: str) -> None:
+        """Refuse an offer while the agent accepts no new work.
 
-        An identifier that is not held here may have run, so that not even
-        an agent that takes nothing may say that it did not. One that is
-        held is spent with its refusal: started by a later offer, it would
-        run after its caller was told that it did not.
+        The refusal says that the call did not run. That can't be said of an
+        identifier that this agent does not hold: it may have run, so
+        ``refuse_prepared`` raises ``outcome_unknown`` for it. An identifier
+        that is held can't be started any more: its caller has been told
+        that it did not run, so a later offer must not run it.
         """
         try:
-            self._require_taking("take offer")
+            self._require_accepting_work("take offer")
         except errors.CallError:
             if identifier:
                 self._state.table.refuse_prepared(identifier, customer)
             raise
 
-    def _require_taking(self, step: str) -> None:
-        reason = self._state.hold_reason
+    def _require_accepting_work(self, step: str) -> None:
+        reason = self._state.suspension_reason
         if self._state.lifecycle.is_leaving():
             reason = "the target is leaving"
         if reason:
@@ -311,12 +319,12 @@
                 reason,
                 step=step,
                 peer=self._state.settings.target,
-                retry_after_ms=_LEAVING_RETRY_MS,
+                retry_after_ms=_REFUSAL_RETRY_MS,
             )
 
-    def _make_order(self, offer: messages.Offer) -> call_runner.StartOrder:
+    def _make_call(self, offer: messages.Offer) -> call_runner.OfferedCall:
         finish_ms = offer["finish_within_ms"] or math.inf
-        return call_runner.StartOrder(
+        return call_runner.OfferedCall(
             offer,
             self._connection.peer,
             deadlines.make_deadline(offer["start_within_ms"]),
@@ -327,17 +335,17 @@
         self, call: int, generation: generations.Generation, after: int
     ) -> None:
         feed = call_feeds.CallFeed(
-            call, generation, after, self._window, self._mark_dirty
+            call, generation, after, self._window, self._mark_ready
         )
         self._feeds[call] = feed
         feed.notify()
 
-    def _mark_dirty(self, feed: call_feeds.CallFeed) -> None:
-        self._dirty.add(feed)
-        self._wake.set()
+    def _mark_ready(self, feed: call_feeds.CallFeed) -> None:
+        self._ready_feeds.add(feed)
+        self._items_ready.set()
 
     async def _prepare(self, message: messages.Prepare) -> None:
-        self._require_taking("prepare generation")
+        self._require_accepting_work("prepare generation")
         prepared = self._state.table.prepare(message["customer"])
         logs.log_event(
             events.CALL_PREPARED,
@@ -355,19 +363,21 @@
 
     async def _resume(self, message: messages.Resume) -> None:
         if message["call"] in self._feeds:
-            # A second feed under the number would leave the first one
-            # subscribed for ever: its generation would always count as
-            # read, and the agent would never be drained.
-            raise self._refuse_message("the call number is in use")
-        generation = self._find(message["generation"], message["customer"])
+            # A second feed with this number would leave the first one
+            # subscribed forever. Its generation would always count as being
+            # read, and the agent would never finish draining.
+            raise self._make_message_error("the call number is in use")
+        generation = self._find_or_adopt(
+            message["generation"], message["customer"]
+        )
         if generation is None:
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "no such generation is held here",
+                "this agent holds no such generation",
                 step="resume generation",
             )
-        # An adopted one is read from its first item again, so it may have
-        # fewer for a moment than its caller got from the earlier run.
+        # An adopted generation is read again from its first item, so it may
+        # briefly have fewer items than its caller got from the earlier run.
         is_behind = message["after"] > generation.count_items()
         if is_behind and not generation.adopted:
             raise errors.CallError(
@@ -386,10 +396,10 @@
 
     def _retract(self, call: int) -> None:
         feed = self._feeds.get(call)
-        # A caller's first connection may end while its repeat waits for the
-        # same generation through another entry. Withdrawn, the repeat would
-        # be told that what it waits for does not run.
-        if feed is not None and not feed.generation.has_more_readers():
+        # A caller's first connection may end while its repeated request
+        # waits for the same generation through another entry. Withdrawing
+        # the generation would tell that request that it did not run.
+        if feed is not None and not feed.generation.has_multiple_readers():
             feed.generation.retract()
 
     async def _cancel(self, message: messages.Cancel) -> None:
@@ -409,7 +419,7 @@
         try:
             self._state.service.take(message)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            raise self._refuse_message(str(error)) from error
+            raise self._make_message_error(str(error)) from error
         await self._connection.send(
             {
                 "type": "configured",
@@ -434,14 +444,14 @@
     async def _send_items(self) -> None:
         batch_s = self._state.settings.batch_ms / 1000
         while True:
-            await self._wake.wait()
+            await self._items_ready.wait()
             await trio.sleep(batch_s)
-            self._wake = trio.Event()
-            dirty, self._dirty = self._dirty, set()
-            runs = [run for feed in dirty if (run := feed.take_run())]
+            self._items_ready = trio.Event()
+            ready, self._ready_feeds = self._ready_feeds, set()
+            runs = [run for feed in ready if (run := feed.take_items())]
             if runs:
                 await self._connection.send({"type": "items", "runs": runs})
-            for feed in dirty:
+            for feed in ready:
                 if feed.is_drained() and feed.call in self._feeds:
                     await self._send_end(feed)
 
@@ -480,9 +490,9 @@
             await self._connection.send(report)
             await trio.sleep(self._periods.load_ms / 1000)
 
-    async def _tell_leaving(self) -> None:
+    async def _send_leaving(self) -> None:
         await self._state.lifecycle.wait_leaving()
         await self._connection.send(
             {"type": "leaving", "reason": self._state.lifecycle.reason}
         )
-        self.told_leaving = True
+        self.leaving_sent = True
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/generation_table.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/generation_table.py
@@ -1,10 +1,10 @@
 """The generations of one agent, by identifier.
 
-Only the run of the process that gave an identifier out may start it, and
-only once. Identifiers that were given out but are in no table any more may
-have run: nothing is ever started for them, and nobody is told that they did
-not run. What an earlier run started, and the target still has, is adopted: it
-is read on here, and nothing is started for it.
+An identifier may be started only once, and only by the run of the process
+that issued it. An identifier that is in no table may have run: it is never
+started, and nobody is told that it did not run. A generation that an earlier
+run started and that the target still has is adopted: its items are read from
+the target, and nothing is started.
 """
 
 from collections import abc
@@ -19,19 +19,22 @@
 __all__ = ("GenerationTable", "PreparedGeneration")
 
 _INCARNATION_BYTES: typing.Final = 6
-_PREPARED_WITHIN_MS: typing.Final = 600_000
-_MOST_PREPARED: typing.Final = 10_000
+"""Random bytes in the incarnation, which identifies a run of the agent."""
+_PREPARED_TTL_MS: typing.Final = 600_000
+"""Time for which a prepared identifier can be started, in milliseconds."""
+_MAX_PREPARED: typing.Final = 10_000
+"""Most prepared identifiers that may wait to be started."""
 
 
 class PreparedGeneration(typing.NamedTuple):
-    """An identifier that may be started once."""
+    """An identifier that has been issued and may be started once."""
 
     identifier: str
     """The identifier."""
     customer: str
-    """Customer it was given to."""
+    """Customer that it was issued to."""
     expires_at: deadlines.Deadline
-    """Until when it can be started."""
+    """Deadline for starting it."""
 
 
 class GenerationTable:
@@ -40,9 +43,9 @@
     def __init__(
         self, target: str, retain_ms: int, retain_bytes: int, key: str
     ) -> None:
-        """Make an empty table with a new incarnation.
+        """Create an empty table with a new incarnation.
 
-        ``key`` signs identifiers; it is the same in all runs of the agent.
+        ``key`` signs identifiers and is the same in all runs of the agent.
         """
         self.incarnation: typing.Final = secrets.token_hex(_INCARNATION_BYTES)
         self._target: typing.Final = target
@@ -78,24 +81,24 @@
         )
 
     def prepare(self, customer: str) -> PreparedGeneration:
-        """Give out an identifier for one later start.
+        """Issue an identifier that can be started once, later.
 
-        Raises :class:`errors.CallError` with ``not_run`` when too many wait
-        to be started, so that callers who never start any can't fill the
-        memory.
+        Raises :class:`errors.CallError` with ``not_run`` when too many
+        identifiers wait to be started, so that callers who never start
+        theirs can't exhaust memory.
         """
-        if len(self._prepared) >= _MOST_PREPARED:
+        if len(self._prepared) >= _MAX_PREPARED:
             raise errors.CallError(
                 errors.NOT_RUN,
                 "too many prepared generations wait to be started",
                 step="prepare generation",
                 peer=self._target,
-                retry_after_ms=_PREPARED_WITHIN_MS // 10,
+                retry_after_ms=_PREPARED_TTL_MS // 10,
             )
         prepared = PreparedGeneration(
             self._make_identifier(customer),
             customer,
-            deadlines.make_deadline(_PREPARED_WITHIN_MS),
+            deadlines.make_deadline(_PREPARED_TTL_MS),
         )
         self._prepared[prepared.identifier] = prepared
         return prepared
@@ -103,9 +106,9 @@
     def find_attempt(
         self, attempt: str, customer: str
     ) -> typing.Optional[generations.Generation]:
-        """Return the generation that an earlier offer of an attempt made.
+        """Return the generation that an earlier offer of an attempt created.
 
-        An entry whose connection was lost offers the same attempt again.
+        An entry that lost its connection offers the same attempt again.
         """
         known = self._attempts.get(attempt)
         if known is None or known.customer != customer:
@@ -115,7 +118,7 @@
     def create(
         self, attempt: str, customer: str, is_plain: bool, repeatable: bool
     ) -> generations.Generation:
-        """Return a new generation for an attempt that is not known."""
+        """Return a new generation for an unknown attempt."""
         generation = generations.Generation(
             self._make_identifier(customer), customer, is_plain, repeatable
         )
@@ -130,7 +133,7 @@
 
         A second start attaches to the first. Raises
         :class:`errors.CallError` with ``outcome_unknown`` for an identifier
-        that this table does not hold: it may have run in an earlier life.
+        that this table does not hold: an earlier run may have started it.
         """
         known = self.find(identifier, customer)
         if known is not None:
@@ -138,8 +141,8 @@
         prepared = self.require_prepared(identifier, customer)
         del self._prepared[identifier]
         if prepared.expires_at.is_past():
-            # The identifier never started and now never will, but a second
-            # request for it can't be told from one that did start.
+            # The identifier never started and never will, but a second
+            # request for it can't be told apart from one that did start.
             raise errors.CallError(
                 errors.OUTCOME_UNKNOWN,
                 "the identifier has expired",
@@ -155,28 +158,29 @@
     def require_prepared(
         self, identifier: str, customer: str
     ) -> PreparedGeneration:
-        """Return an identifier that waits here to be started.
+        """Return a prepared identifier that has not been started.
 
         Raises :class:`errors.CallError` with ``not_run`` for one that was
-        refused, else with ``outcome_unknown``.
+        refused, and with ``outcome_unknown`` for any other.
         """
         self._check_not_refused(identifier, customer)
         prepared = self._prepared.get(identifier)
         if prepared is None or prepared.customer != customer:
             raise errors.CallError(
                 errors.OUTCOME_UNKNOWN,
-                "the identifier is not held here; it may have run",
+                "this agent does not hold the identifier; it may have run",
                 step="start prepared generation",
                 peer=self._target,
             )
         return prepared
 
     def refuse_prepared(self, identifier: str, customer: str) -> None:
-        """Never start an identifier that waits here.
+        """Make sure that a prepared identifier never starts.
 
-        Its caller is told that it did not run and may have another one run.
-        A duplicate of the start that comes when the agent takes work again
-        would run it a second time, and it would be on the bill twice.
+        Its caller is told that it did not run and may run another one in its
+        place. A duplicate start that arrives once the agent accepts work
+        again would run it a second time, and the customer would be billed
+        twice.
 
         Raises :class:`errors.CallError` as :meth:`require_prepared` does.
         """
@@ -190,13 +194,14 @@
         is_plain: bool,
         customer: str = generations.UNKNOWN_CUSTOMER,
     ) -> typing.Optional[generations.Generation]:
-        """Return a new generation for what an earlier run has started.
-
-        None when the identifier is of another target, of this run, held
-        already, or not the customer's. A target that lists it names no
-        customer; then the first who asks shows by the identifier that it is
-        the customer. Whether it may be repeated is not known here, so it is
-        treated as one that may not.
+        """Return a new generation for one that an earlier run started.
+
+        Returns None when the identifier belongs to another target, to this
+        run or to another customer, or is already held. A target that lists
+        the identifier names no customer; the first request whose customer
+        matches the identifier's signature sets it then. Whether the
+        generation is repeatable is not known here, so it is treated as not
+        repeatable.
         """
         parsed = generation_ids.parse_generation_id(identifier)
         if parsed.is_error() or parsed.ok.target != self._target:
@@ -212,7 +217,7 @@
             identifier, customer, is_plain, False
         )
         generation.adopted = True
-        generation.found = is_listed
+        generation.confirmed = is_listed
         generation.started = True
         return self._add(generation)
 
@@ -225,16 +230,16 @@
     def cancel(self, identifier: str, customer: str) -> bool:
         """Cancel a customer's generation; False when it is not held.
 
-        A prepared identifier is spent: a start of it that is still on the
-        way would else run what its customer has cancelled.
+        A prepared identifier can't be started any more: a start that is
+        still in flight would run what its customer has cancelled.
         """
         generation = self.find(identifier, customer)
         if generation is not None:
             generation.cancel()
-            # While the target has not shown that it holds an adopted one, an
-            # earlier run that wakes up may still start it. Its customer, told
-            # that it is cancelled, would find it on the bill.
-            return generation.found
+            # Until the target has shown that it holds an adopted generation,
+            # a paused earlier run may wake up and still start it. A customer
+            # told that it is cancelled would then be billed for it.
+            return generation.confirmed
         prepared = self._prepared.get(identifier)
         if prepared is None or prepared.customer != customer:
             return False
@@ -264,16 +269,18 @@
         """Return a customer's generation, or None.
 
         Another customer's generation is None too, so that an identifier
-        tells a stranger nothing.
+        reveals nothing to others.
         """
-        found = self._running.get(identifier) or self._ended.get(identifier)
-        if found is not None:
-            self._learn_customer(found, customer)
-        if found is None or found.customer != customer:
+        generation = self._running.get(identifier) or self._ended.get(
+            identifier
+        )
+        if generation is not None:
+            self._assign_customer(generation, customer)
+        if generation is None or generation.customer != customer:
             return None
-        return found
+        return generation
 
-    def _learn_customer(
+    def _assign_customer(
         self, generation: generations.Generation, customer: str
     ) -> None:
         if generation.customer != generations.UNKNOWN_CUSTOMER:
@@ -282,12 +289,12 @@
             generation.customer = customer
 
     def retire(self, generation: generations.Generation) -> None:
-        """Move an ended generation to those kept for a while.
+        """Move an ended generation to those retained for later reads.
 
-        One that did not run is forgotten at once. A prepared identifier of
-        such a one never starts later either: a duplicate of the offer may
-        still be on the way, and would run what the customer was told did
-        not run and has perhaps had run elsewhere since.
+        One that did not run is removed at once. If its identifier was
+        prepared, it can't be started later either: a duplicate of the offer
+        may still be in flight and would run a call whose customer was told
+        that it did not run, and who may have had it run elsewhere since.
         """
         self._running.pop(generation.identifier, None)
         end = generation.end
@@ -297,27 +304,28 @@
                 self._refused[generation.identifier] = PreparedGeneration(
                     generation.identifier,
                     generation.customer,
-                    deadlines.make_deadline(_PREPARED_WITHIN_MS),
+                    deadlines.make_deadline(_PREPARED_TTL_MS),
                 )
             return
-        if not generation.found:
-            # An earlier run that wakes up may start it yet, and then it can
-            # be read; the target is asked anew each time.
+        if not generation.confirmed:
+            # A paused earlier run may still wake up and start it, and then
+            # it can be read. It is not retained, so that the target is asked
+            # again each time.
             return
-        generation.forget_at = deadlines.make_deadline(self._retain_ms)
+        generation.retain_until = deadlines.make_deadline(self._retain_ms)
         self._ended[generation.identifier] = generation
         self._ended_bytes += generation.size_bytes
 
-    def forget_expired(self) -> None:
-        """Drop what is kept too long, and the oldest beyond the limit."""
-        for kept in (self._prepared, self._refused):
-            for identifier, prepared in tuple(kept.items()):
+    def drop_expired(self) -> None:
+        """Drop what has expired, and the oldest beyond the byte limit."""
+        for identifiers in (self._prepared, self._refused):
+            for identifier, prepared in tuple(identifiers.items()):
                 if not prepared.expires_at.is_past():
                     break
-                del kept[identifier]
+                del identifiers[identifier]
         for identifier, generation in tuple(self._ended.items()):
-            too_much = self._ended_bytes > self._retain_bytes
-            if not too_much and not generation.forget_at.is_past():
+            is_over_limit = self._ended_bytes > self._retain_bytes
+            if not is_over_limit and not generation.retain_until.is_past():
                 break
             if not generation.has_readers():
                 del self._ended[identifier]
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
@@ -1,8 +1,8 @@
-"""Generations: numbered items, kept until they are fetched or expire.
+"""Generations: numbered items that are kept until fetched or expired.
 
-A plain call is a generation too: its first item is the head of the answer,
+A plain call is also a generation: its first item is the head of the answer,
 the others are chunks of its body. Items are numbered from 1 and never change,
-so any entry can ask for those after a number and nothing is lost or doubled.
+so any entry can ask for the items after a number without loss or duplicates.
 """
 
 from collections import abc
@@ -14,7 +14,7 @@
 from gentianpoint_core import deadlines
 
 __all__ = (
-    "ENDED_REGULARLY",
+    "COMPLETE_REASONS",
     "CANCELLED",
     "INCOMPLETE",
     "LENGTH",
@@ -28,21 +28,21 @@
 )
 
 STOP: typing.Final = "stop"
-"""The answer is whole."""
+"""The answer is complete."""
 LENGTH: typing.Final = "length"
-"""The answer reached the most tokens that were asked for."""
+"""The answer reached the token limit."""
 CANCELLED: typing.Final = "cancelled"
 """The customer cancelled."""
 INCOMPLETE: typing.Final = "incomplete"
-"""The generation died after its first item."""
+"""The generation broke off after its first item."""
 OUTCOME_UNKNOWN: typing.Final = "outcome_unknown"
-"""Whether the target ran it can't be told; no item came."""
+"""No item came, and the target may or may not have run the call."""
 NOT_RUN: typing.Final = "not_run"
-"""The target truly did not run it."""
+"""The target certainly did not run the call."""
 UNKNOWN_CUSTOMER: typing.Final = "\0"
-"""Customer of an adopted generation that nobody has asked for yet."""
-ENDED_REGULARLY: typing.Final = frozenset((STOP, LENGTH))
-"""Reasons with which the answer is whole."""
+"""Customer of an adopted generation that nobody has requested yet."""
+COMPLETE_REASONS: typing.Final = frozenset((STOP, LENGTH))
+"""End reasons of a complete answer."""
 
 
 class GenerationEnd(typing.NamedTuple):
@@ -51,11 +51,11 @@
     reason: str
     """One of the constants of this module."""
     detail: str = ""
-    """Sentence for people when the end is not a regular one."""
+    """Human-readable explanation of an end that is not a regular one."""
     retry_after_ms: int = 0
-    """When to come back after ``not_run``, in milliseconds."""
+    """Time after which to retry a call that did not run, in milliseconds."""
     prompt_tokens: int = 0
-    """Tokens of the prompt."""
+    """Tokens in the prompt."""
     completion_tokens: int = 0
     """Tokens generated."""
 
@@ -68,12 +68,12 @@
 
 
 class Generation:
-    """One generation or plain call at its home."""
+    """The items and the state of one generation or plain call."""
 
     def __init__(
         self, identifier: str, customer: str, is_plain: bool, repeatable: bool
     ) -> None:
-        """Make a generation that has not started."""
+        """Create a generation that has not started."""
         self.identifier: typing.Final = identifier
         self.customer = customer
         self.is_plain: typing.Final = is_plain
@@ -81,14 +81,14 @@
         self.prepared = False
         self.adopted = False
         """True when an earlier run of the agent started it."""
-        self.found = True
-        """False until the target has shown that it holds an adopted one."""
+        self.confirmed = True
+        """False while the target has not shown that it has an adopted one."""
         self.shared = False
-        """True when another run of the agent may be reading it too."""
+        """True when another run of the agent may be reading it as well."""
         self.attempt = ""
         self.started = False
         self.end: typing.Optional[GenerationEnd] = None
-        self.forget_at = deadlines.NO_DEADLINE
+        self.retain_until = deadlines.NO_DEADLINE
         self.abandon_at = deadlines.NO_DEADLINE
         self.size_bytes = 0
         self._texts: typing.Final[list[str]] = []
@@ -122,13 +122,13 @@
         self._notify()
 
     def finish(self, end: GenerationEnd) -> None:
-        """Set the end; a later one changes nothing."""
+        """Set the end, unless it is already set."""
         if self.end is None:
             self.end = end
             self._notify()
 
     def subscribe(self, listener: abc.Callable[[], None]) -> None:
-        """Call ``listener`` after each change, and keep it running."""
+        """Call ``listener`` after each change; the reader keeps it alive."""
         self._listeners.append(listener)
         self.abandon_at = deadlines.NO_DEADLINE
 
@@ -137,8 +137,8 @@
     ) -> None:
         """Stop calling ``listener``.
 
-        Without any reader the generation is abandoned ``orphan_ms``
-        milliseconds from now, unless one comes before.
+        A generation without readers is due to be abandoned ``orphan_ms``
+        milliseconds from now, unless a reader subscribes before.
         """
         if listener in self._listeners:
             self._listeners.remove(listener)
@@ -146,33 +146,33 @@
             self.abandon_at = deadlines.make_deadline(orphan_ms)
 
     def has_readers(self) -> bool:
-        """Tell whether somebody reads it."""
+        """Tell whether anyone is reading the generation."""
         return bool(self._listeners)
 
-    def has_more_readers(self) -> bool:
-        """Tell whether more than one reads it."""
+    def has_multiple_readers(self) -> bool:
+        """Tell whether the generation has more than one reader."""
         return len(self._listeners) > 1
 
     def cancel(self) -> None:
-        """Ask the task that runs it to stop for good."""
+        """Ask the task that runs the generation to stop it."""
         self._cancelled.set()
 
     def retract(self) -> None:
-        """Ask not to start it; in vain once it has started."""
+        """Withdraw the generation; has no effect once it has started."""
         if not self.started:
             self._retracted = True
             self._cancelled.set()
 
     def is_retracted(self) -> bool:
-        """Tell whether it was withdrawn before its start."""
+        """Tell whether the generation was withdrawn before it started."""
         return self._retracted
 
     def is_cancelled(self) -> bool:
-        """Tell whether it was cancelled or retracted."""
+        """Tell whether the generation was cancelled or withdrawn."""
         return self._cancelled.is_set()
 
     async def wait_cancelled(self) -> None:
-        """Wait until it is cancelled or retracted."""
+        """Wait until the generation is cancelled or withdrawn."""
         await self._cancelled.wait()
 
     def _notify(self) -> None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/order_records.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/order_records.py
@@ -1,4 +1,4 @@
-"""Records of the log's stream in which agents settle who orders engines."""
+"""Records with which agents agree who orders engines and holds turns."""
 
 import typing
 
@@ -19,21 +19,21 @@
 ORDER_STREAM: typing.Final = "engine-orders"
 """Stream of the log that holds the records of all targets."""
 CLAIM: typing.Final = "claim"
-"""A run of an agent is the one that orders its target's engine."""
+"""A run of an agent claims the right to order its target's engine."""
 RENEWAL: typing.Final = "renewal"
-"""The lease of a run goes on."""
+"""A run of an agent renews its lease."""
 ASK: typing.Final = "ask"
-"""A target queues for a turn."""
+"""A target requests a turn."""
 START: typing.Final = "start"
-"""A target takes its turn, or keeps it up."""
+"""A target starts or renews its turn."""
 DONE: typing.Final = "done"
-"""A target gives its turn, or its place in the queue, back."""
+"""A target ends its turn or withdraws its request."""
 WEIGHTS: typing.Final = "weights"
-"""Name of the turns to read from the weight store, of all services."""
+"""Name of the turns to read from the weight store, for all services."""
 
 
 def name_service_turns(service: str) -> str:
-    """Return the name of the turns of one service's targets to be away."""
+    """Return the name of the turns in which one service's targets stop."""
     return f"service:{service}"
 
 
@@ -41,12 +41,12 @@
     """One record of the stream."""
 
     kind: str
-    """One of the kinds above."""
+    """One of ``claim``, ``renewal``, ``ask``, ``start`` and ``done``."""
     target: str
     """Target whose engine gets the orders."""
     incarnation: str
-    """Run of the agent that wrote it."""
+    """Run of the agent that appended the record."""
     turns: str = ""
-    """Name of the turns that it is about; empty for claims and renewals."""
+    """Name of the turns concerned; empty for claims and renewals."""
     units: int = 0
-    """What the turn takes of its limit, such as bytes."""
+    """Share of the limit that the turn uses, such as bytes."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/order_stream.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/order_stream.py
@@ -1,4 +1,4 @@
-"""One agent's reading and writing of the stream of orders."""
+"""Reads and appends the log's records of claims, leases and turns."""
 
 import abc
 import contextlib
@@ -11,16 +11,22 @@
 from gentianpoint_agent import order_records
 from gentianpoint_core import ports
 
-__all__ = ("LogUnavailableError", "OrderStream", "RecordReader")
+__all__ = ("LogUnavailableError", "OrderStream", "RecordHandler")
 
-_BATCH: typing.Final = 500
-_LOOK_BACK: typing.Final = 2000
-"""Records before the own claim that are read, for turns that are open."""
-_TAIL_S: typing.Final = 120.0
-_APPEND_TRIES: typing.Final = 8
-_APPEND_PAUSE_S: typing.Final = 0.2
-_BACK_OFF: typing.Final = 2
-_MAX_APPEND_PAUSE_S: typing.Final = 2.0
+_READ_BATCH: typing.Final = 500
+"""Most records in one read."""
+_LOOKBACK_RECORDS: typing.Final = 2000
+"""Records before this agent's claim that are read, to find open turns."""
+_TAIL_INTERVAL_S: typing.Final = 120.0
+"""Interval at which new records are read in the background, in seconds."""
+_APPEND_ATTEMPTS: typing.Final = 8
+"""Attempts of one append that the log refuses."""
+_APPEND_DELAY_S: typing.Final = 0.2
+"""Longest delay before the second attempt of an append, in seconds."""
+_BACKOFF_FACTOR: typing.Final = 2
+"""Factor by which the delay grows with each attempt."""
+_MAX_APPEND_DELAY_S: typing.Final = 2.0
+"""Longest delay between attempts of an append, in seconds."""
 
 
 class LogUnavailableError(ports.PortError):
@@ -33,135 +39,136 @@
     )
 
 
-class RecordReader(abc.ABC):
-    """Takes the records of the stream in their order."""
+class RecordHandler(abc.ABC):
+    """Receives the records of the stream in order."""
 
     @abc.abstractmethod
-    def take_record(
+    def handle_record(
         self, offset: int, record: order_records.OrderRecord
     ) -> None:
-        """Take one record."""
+        """Handle one record."""
 
     @abc.abstractmethod
-    def note_hole(self) -> None:
-        """Learn that records expired before they were read."""
+    def handle_gap(self) -> None:
+        """Handle that records expired before they were read."""
 
 
 class OrderStream:
-    """Appends records of one run, and reads those of all."""
+    """Appends the records of one run of an agent and reads those of all."""
 
     def __init__(self, log: ports.Log, target: str, incarnation: str) -> None:
-        """Write for a run of the agent of ``target``."""
+        """Append on behalf of one run of the agent of ``target``."""
         self.target: typing.Final = target
         self.incarnation: typing.Final = incarnation
         self._log: typing.Final = log
-        self._readers: typing.Final[list[RecordReader]] = []
-        self._read_through = 0
-        self._claim = 0
-        self._reading: typing.Final = trio.Lock()
+        self._handlers: typing.Final[list[RecordHandler]] = []
+        self._last_offset = 0
+        self._claim_offset = 0
+        self._read_lock: typing.Final = trio.Lock()
 
-    def add_reader(self, reader: RecordReader) -> None:
-        """Give ``reader`` all records read from now on."""
-        self._readers.append(reader)
+    def add_handler(self, handler: RecordHandler) -> None:
+        """Pass all records read from now on to ``handler``."""
+        self._handlers.append(handler)
 
-    def start_before(self, claim: int) -> None:
-        """Read from a while before the own claim.
+    def start_reading_before(self, claim_offset: int) -> None:
+        """Start reading some records before this agent's claim.
 
-        An agent that began to read at its claim would not know of turns that
-        were open then, and would read weights beside them all.
+        An agent that started at its claim would not know which turns were
+        held then, and its engine would read weights beside all of them.
         """
-        self._read_through = max(0, claim - _LOOK_BACK)
-        self._claim = claim
+        self._last_offset = max(0, claim_offset - _LOOKBACK_RECORDS)
+        self._claim_offset = claim_offset
 
     async def append(self, kind: str, turns: str = "", units: int = 0) -> int:
         """Append a record and return its offset.
 
-        A refusal is tried again for some seconds: when a region comes back,
-        all its agents append at once, and a log that is over its rate is
-        not out. Raises :class:`LogUnavailableError`.
+        A refused append is retried for some seconds: when a region comes
+        back, all its agents append at once, and a log that refuses because
+        of its rate limit is not out. Raises :class:`LogUnavailableError`.
         """
         record = order_records.OrderRecord(
             kind, self.target, self.incarnation, turns, units
         )
         data = msgspec.json.encode(record)
-        tries_left = _APPEND_TRIES
-        pause_s = _APPEND_PAUSE_S
+        attempts_left = _APPEND_ATTEMPTS
+        delay_s = _APPEND_DELAY_S
         while True:
             try:
                 return await self._log.append_record(
                     order_records.ORDER_STREAM, data
                 )
             except ports.PortError as error:
-                tries_left -= 1
-                if error.took_effect or not tries_left:
+                attempts_left -= 1
+                if error.took_effect or not attempts_left:
                     raise _make_unavailable(error) from error
-            await trio.sleep(random.uniform(pause_s / 2, pause_s))
-            pause_s = min(_MAX_APPEND_PAUSE_S, pause_s * _BACK_OFF)
+            await trio.sleep(random.uniform(delay_s / 2, delay_s))
+            delay_s = min(_MAX_APPEND_DELAY_S, delay_s * _BACKOFF_FACTOR)
 
-    async def read_through(self, offset: int) -> None:
-        """Read until the record at ``offset`` was taken."""
-        while self._read_through < offset:
-            await self.read_on(0)
+    async def read_up_to(self, offset: int) -> None:
+        """Read until the record at ``offset`` has been handled."""
+        while self._last_offset < offset:
+            await self.read_next(0)
 
-    async def read_on(self, wait_ms: int) -> None:
-        """Read the next records, waiting a while when there are none.
+    async def read_next(self, wait_ms: int) -> None:
+        """Read the next records, waiting up to ``wait_ms`` for some.
 
         Raises :class:`LogUnavailableError`.
         """
-        async with self._reading:
-            start = self._read_through + 1
+        async with self._read_lock:
+            start = self._last_offset + 1
             try:
-                piece = await self._log.read_records(
-                    order_records.ORDER_STREAM, start, _BATCH, wait_ms
+                log_slice = await self._log.read_records(
+                    order_records.ORDER_STREAM, start, _READ_BATCH, wait_ms
                 )
             except ports.PortError as error:
                 raise _make_unavailable(error) from error
-            if piece.first > start:
-                self._skip_hole(piece.first)
-            for record in piece.records:
-                self._read_through = record.offset
-                self._take(record)
-
-    def _skip_hole(self, first: int) -> None:
-        # Records expired unread. Those from before the own claim only told
-        # of turns that have long ended; later ones may hold a later claim.
-        if first - 1 > max(self._read_through, self._claim):
-            for reader in self._readers:
-                reader.note_hole()
-        self._read_through = first - 1
-
-    def _take(self, record: ports.LogRecord) -> None:
+            if log_slice.first > start:
+                self._skip_expired(log_slice.first)
+            for record in log_slice.records:
+                self._last_offset = record.offset
+                self._dispatch(record)
+
+    def _skip_expired(self, first: int) -> None:
+        # Records expired unread. Records from before this agent's claim only
+        # concern turns that ended long ago, but those after it may include a
+        # later claim.
+        if first - 1 > max(self._last_offset, self._claim_offset):
+            for handler in self._handlers:
+                handler.handle_gap()
+        self._last_offset = first - 1
+
+    def _dispatch(self, record: ports.LogRecord) -> None:
         with contextlib.suppress(msgspec.DecodeError):
             decoded = msgspec.json.decode(
                 record.data, type=order_records.OrderRecord
             )
-            for reader in self._readers:
-                reader.take_record(record.offset, decoded)
+            for handler in self._handlers:
+                handler.handle_record(record.offset, decoded)
 
     async def is_reachable(self) -> bool:
-        """Tell whether the log can be read now."""
+        """Tell whether the log can be read at present."""
         try:
-            await self.read_on(0)
+            await self.read_next(0)
         except ports.PortError:
             return False
         return True
 
     async def tail(self) -> None:
-        """Read on now and then, for ever.
+        """Read new records at an interval, forever.
 
-        An agent that reads only when it orders finds, after a quiet day,
-        that records expired which it never read. It could not know any more
-        that no later claim was among them, and would never order again; an
-        operator would notice a target that stays at an old version.
+        An agent that read only before an order would find, after a day
+        without orders, that records expired unread. It could no longer rule
+        out a later claim among them and would never order again, so its
+        target would stay at an old version.
         """
         while True:
-            await trio.sleep(_TAIL_S)
+            await trio.sleep(_TAIL_INTERVAL_S)
             with contextlib.suppress(ports.PortError):
                 await self.read_to_end()
 
     async def read_to_end(self) -> None:
-        """Read all that there is."""
-        before = -1
-        while before != self._read_through:
-            before = self._read_through
-            await self.read_on(0)
+        """Read all records that are there."""
+        previous = -1
+        while previous != self._last_offset:
+            previous = self._last_offset
+            await self.read_next(0)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/plain_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/plain_runner.py
@@ -12,10 +12,11 @@
 __all__ = ("PlainRunner",)
 
 _RETRY_AFTER_MS: typing.Final = 1000
+"""Retry delay sent with a call that did not run, in milliseconds."""
 
 
 class PlainRunner(call_runner.CallRunner):
-    """Sends each call once and keeps its answer's head and chunks."""
+    """Sends each call once and stores the head and chunks of its answer."""
 
     def __init__(
         self,
@@ -26,14 +27,14 @@
         super().__init__(control)
         self._service: typing.Final = service
 
-    async def run_started(
+    async def call_target(
         self,
         generation: generations.Generation,
-        order: call_runner.StartOrder,
+        call: call_runner.OfferedCall,
         slot: admission_policy.Slot,
     ) -> generations.GenerationEnd:
-        """Send the call; see :meth:`call_runner.CallRunner.run_started`."""
-        request = order.offer["request"]
+        """Send the call; see :meth:`call_runner.CallRunner.call_target`."""
+        request = call.offer["request"]
         headers = [(header[0], header[1]) for header in request["headers"]]
         try:
             async with self._service.send_call(
@@ -47,10 +48,10 @@
                 async for chunk in answer.chunks:
                     generation.add_chunk(chunk)
         except ports.PortError as error:
-            return self._describe_failure(generation, error)
+            return self._make_failed_end(generation, error)
         return generations.GenerationEnd(generations.STOP)
 
-    def _describe_failure(
+    def _make_failed_end(
         self, generation: generations.Generation, error: ports.PortError
     ) -> generations.GenerationEnd:
         if generation.count_items():
@@ -69,5 +70,7 @@
             retry_after_ms=_RETRY_AFTER_MS,
         )
 
-    async def stop(self, generation: generations.Generation) -> None:
-        """Do nothing: closing the connection was all that can be done."""
+    async def cancel_at_target(
+        self, generation: generations.Generation
+    ) -> None:
+        """Do nothing: leaving ``call_target`` has closed the connection."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
@@ -1,8 +1,8 @@
-"""Reads of the weight store: their sizes, turns, and what to do without.
+"""Limits what engines read from the weight store at the same time.
 
-The engines read; their agents see to it that all engines of all services
-together have no more bytes under way than the store gives in a few seconds.
-Then each read is over within these seconds, and the store refuses none.
+The engines read, and their agents limit the reads of all engines of all
+services together to the bytes that the store delivers in a few seconds. Each
+read then finishes within these seconds, and the store refuses none.
 """
 
 from collections import abc
@@ -17,13 +17,14 @@
 
 __all__ = ("WeightReads",)
 
-_WINDOW_S: typing.Final = 10
-"""Bytes that the store gives in this time may be under way together."""
-_MAX_SPREAD_S: typing.Final = 60.0
+_LIMIT_WINDOW_S: typing.Final = 10
+"""Seconds of the store's rate whose bytes may be in flight together."""
+_MAX_DELAY_S: typing.Final = 60.0
+"""Longest random delay before a read without a turn, in seconds."""
 
 
 class WeightReads:
-    """The reads that one target's engine makes."""
+    """The weight store reads of one target's engine."""
 
     def __init__(
         self,
@@ -31,22 +32,22 @@
         rate: int,
         turns: order_turns.TurnClient,
     ) -> None:
-        """Read from ``store``, which gives ``rate`` bytes a second to all.
+        """Read from ``store``, which delivers ``rate`` bytes a second in all.
 
-        Without a store loads take no turns.
+        Without a store, loads need no turns.
         """
         self._store: typing.Final = store
         self._rate: typing.Final = rate
         self._turns: typing.Final = turns
 
-    def read_limit(self) -> int:
-        """Return the bytes that may be under way together."""
-        return self._rate * _WINDOW_S
+    def get_limit(self) -> int:
+        """Return the bytes that may be in flight together."""
+        return self._rate * _LIMIT_WINDOW_S
 
-    async def measure(
+    async def compute_load_size(
         self, wanted: wanted_states.WantedState, load: ports.EngineLoad
     ) -> int:
-        """Return the bytes that a load from ``load`` to ``wanted`` reads."""
+        """Return the bytes that loading ``wanted`` reads, given ``load``."""
         if self._store is None:
             return 0
         size = 0
@@ -56,43 +57,44 @@
             size += await self._store.read_size(wanted.adapter, wanted.version)
         return size
 
-    async def wait_room(
+    async def wait_for_room(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
         """Wait until earlier turns leave room; see ``TurnClient``."""
         if not size:
             return True
-        return await self._turns.wait_room(size, self.read_limit, is_wanted)
+        return await self._turns.wait_for_room(size, self.get_limit, is_wanted)
 
-    async def take_turn(
+    async def acquire_turn(
         self, size: int, is_wanted: abc.Callable[[], bool]
     ) -> bool:
         """Wait for a turn to read ``size`` bytes; see ``TurnClient``."""
         if not size:
             return True
-        taken = await self._turns.acquire(size, self.read_limit, is_wanted)
-        if taken:
+        acquired = await self._turns.acquire(size, self.get_limit, is_wanted)
+        if acquired:
             logs.log_event(events.WEIGHTS_TURN_TAKEN, size=size)
-        return taken
+        return acquired
 
-    def may_read(self, size: int) -> bool:
-        """Tell whether the turn that was taken is still held."""
+    def holds_turn(self, size: int) -> bool:
+        """Tell whether a read of ``size`` bytes is allowed by a held turn."""
         return not size or self._turns.is_held()
 
-    async def keep_turn_up(self) -> None:
-        """Keep a turn that is held, for ever."""
+    async def keep_turn_renewed(self) -> None:
+        """Renew the turn whenever it is held, forever."""
         await self._turns.keep_renewed()
 
-    async def give_turn_back(self) -> None:
-        """Let the next read."""
+    async def release_turn(self) -> None:
+        """End the turn, so that the next engine can read."""
         await self._turns.release()
 
-    def choose_wait_s(self, size: int, targets: int) -> float:
-        """Return how long to wait before a read without a turn.
+    def choose_delay_s(self, size: int, targets: int) -> float:
+        """Return a random delay before a read without a turn, in seconds.
 
-        ``targets`` that all came back empty while the log is out would read
-        at once. Spread over the time that the store needs for all of them,
-        they meet its rate on average; what is still too much it refuses.
+        While the log is out, ``targets`` whose engines all came back empty
+        would read at once. Spread over the time that the store needs for all
+        of them, they match its rate on average; the store refuses what is
+        still too much.
         """
-        spread_s = min(_MAX_SPREAD_S, size * max(1, targets) / self._rate)
+        spread_s = min(_MAX_DELAY_S, size * max(1, targets) / self._rate)
         return random.uniform(0, spread_s)
