--- a/packages/gentianpoint-agent/features/agent_builders.py
+++ b/packages/gentianpoint-agent/features/agent_builders.py
@@ -19,16 +19,16 @@
 def make_profile(
     customer: str = "one", **more: typing.Any
 ) -> admission_policy.CallProfile:
-    """Return the profile of a call that nothing limits."""
-    usual = admission_policy.CallProfile(
+    """Return the profile of a call without limits or deadline."""
+    defaults = admission_policy.CallProfile(
         customer, 1.0, 0, 5, "a prompt", 0, deadlines.NO_DEADLINE
     )
-    return usual._replace(**more)
+    return defaults._replace(**more)
 
 
 def make_load(**more: typing.Any) -> ports.EngineLoad:
-    """Return the report of an idle engine of 100 blocks."""
-    usual = ports.EngineLoad(
+    """Return the load report of an idle engine with 100 blocks."""
+    defaults = ports.EngineLoad(
         boot="b1",
         age_ms=0,
         blocks=100,
@@ -45,11 +45,11 @@
         loading=False,
         reclaim_in_ms=None,
     )
-    return usual._replace(**more)
+    return defaults._replace(**more)
 
 
 def make_service(**more: typing.Any) -> service_in_force.ServiceInForce:
-    """Return a service with a specification in force."""
+    """Return a service whose specification is in force."""
     service = service_in_force.ServiceInForce(SERVICE)
     service.spec = {"kind": "model", "customers": ["*"], **more}
     return service
@@ -58,7 +58,7 @@
 def make_fixed_control(
     limit: int, **spec: typing.Any
 ) -> admission.AdmissionControl:
-    """Return a control that lets ``limit`` calls run."""
+    """Return an admission control that lets ``limit`` calls run at once."""
     return admission.AdmissionControl(
         baseline_policies.FixedPolicy(limit), make_service(**spec)
     )
@@ -67,7 +67,7 @@
 def make_predictive_control(
     **spec: typing.Any,
 ) -> admission.AdmissionControl:
-    """Return a control with our policy."""
+    """Return an admission control with the predictive policy."""
     service = make_service(**spec)
     return admission.AdmissionControl(
         predictive_policy.PredictivePolicy(service), service
@@ -82,5 +82,5 @@
 
 
 def make_end(reason: str) -> generations.GenerationEnd:
-    """Return an end with a reason."""
+    """Return an end with the given reason."""
     return generations.GenerationEnd(reason)
--- a/packages/gentianpoint-agent/features/call_stage.py
+++ b/packages/gentianpoint-agent/features/call_stage.py
@@ -1,4 +1,4 @@
-"""Calls on one admission control, on a stage of their own."""
+"""Calls that go through one admission control, on a test clock."""
 
 import functools
 import typing
@@ -13,7 +13,7 @@
 
 
 class RunningCall(typing.NamedTuple):
-    """A call that has started."""
+    """A call that was admitted and has not ended."""
 
     customer: str
     number: int
@@ -22,12 +22,12 @@
 
 
 class CallStage:
-    """Sends calls and ends them."""
+    """Sends calls through an admission control and ends them."""
 
     def __init__(
         self, make_control: typing.Callable[[], admission.AdmissionControl]
     ) -> None:
-        """Make the control in the stage's run."""
+        """Create the admission control inside a trio run of its own."""
         self.stage: typing.Final = trio_stage.TrioStage()
         self.control: typing.Final = self.stage.call(make_control)
         self.running: typing.Final[list[RunningCall]] = []
@@ -39,15 +39,15 @@
         self._sent = 0
 
     def close(self) -> None:
-        """End the run."""
+        """End the trio run."""
         self.stage.close()
 
     def pass_time(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock."""
         self.stage.pass_time(seconds)
 
     def send(self, profile: admission_policy.CallProfile) -> None:
-        """Send a call and wait until it runs, waits or is refused."""
+        """Send a call and return once it runs, waits or is refused."""
         self._sent += 1
         self.stage.start_task(self._run_call, profile, self._sent)
 
@@ -69,7 +69,7 @@
                 self.refused.append((profile.customer, error))
 
     def hold(self, profile: admission_policy.CallProfile) -> None:
-        """Let a stream run that an earlier run of the agent started."""
+        """Run a stream that an earlier run of the agent started."""
         self.stage.start_task(self._hold_running, profile)
 
     async def _hold_running(
@@ -81,7 +81,7 @@
             await call.may_end.wait()
 
     def end_first(self, tokens: int = 0, end: str = "cancelled") -> None:
-        """End the call that started first, after some tokens."""
+        """End the oldest running call, after some tokens."""
         self.end(self.running[0], tokens, end)
 
     def end(self, call: RunningCall, tokens: int, end: str) -> None:
@@ -92,16 +92,16 @@
         self.stage.call(call.may_end.set)
 
     def note_tokens(self, slot: admission_policy.Slot, count: int) -> None:
-        """Bring tokens; call in the stage's run."""
+        """Report tokens of a call; must be called inside the trio run."""
         for _ in range(count):
             slot.note_token()
 
     def count_running(self, customer: str) -> int:
-        """Return how many calls of a customer run."""
+        """Return how many calls of a customer are running."""
         return sum(call.customer == customer for call in self.running)
 
     def count_refused(self, customer: str) -> int:
-        """Return how many calls were refused with a time to come back."""
+        """Return how many calls were refused with a retry delay."""
         return sum(
             row == customer and error is not None and error.retry_after_ms > 0
             for row, error in self.refused
@@ -109,14 +109,14 @@
 
 
 def make_fixed_stage(limit: int, **spec: typing.Any) -> CallStage:
-    """Return a stage with a fixed number of places."""
+    """Return a stage whose control lets ``limit`` calls run at once."""
     return CallStage(
         functools.partial(agent_builders.make_fixed_control, limit, **spec)
     )
 
 
 def make_predictive_stage(**spec: typing.Any) -> CallStage:
-    """Return a stage with our policy."""
+    """Return a stage whose control has the predictive policy."""
     return CallStage(
         functools.partial(agent_builders.make_predictive_control, **spec)
     )
--- a/packages/gentianpoint-agent/features/entry_connections.feature
+++ b/packages/gentianpoint-agent/features/entry_connections.feature
@@ -1,21 +1,22 @@
-Feature: Connections of entries
+Feature: Connections from entries
 
   Scenario: the answer to an offer can't be sent
     The connection breaks between an offer's arrival and the answer to it.
-    The entry offers the attempt again, which attaches to what the agent
-    holds; a caller would wait for ever for a call that was held but not run.
-    Given an agent with a connection of the run r1
+    The entry offers the attempt again and is attached to what the agent
+    holds. If the agent held the call without running it, the caller would
+    wait forever.
+    Given an agent with a connection from entry run r1
     When the connection breaks at its next "admitted"
-    And an offer of the attempt a1 comes on connection 1
+    And an offer of attempt a1 arrives on connection 1
     Then the target ran 1 call
 
-  Scenario Outline: an entry connects again while its old connection lives
-    A connection fell silent with an offer on it that the agent has not
-    read; the entry connected again. The entry may have told the caller since
-    that the offer did not run.
-    Given an agent with a connection of the run r1
-    When another connection of the run <run> is greeted
-    And an offer of the attempt a1 comes on connection 1
+  Scenario Outline: an entry connects again while its old connection is open
+    A connection fell silent with an offer on it that the agent has not read.
+    The entry connected again and may have told the caller since that the
+    offer did not run, so the agent must not read the offer now.
+    Given an agent with a connection from entry run r1
+    When another connection from entry run <run> is opened
+    And an offer of attempt a1 arrives on connection 1
     Then the target ran <count> call
 
     Examples:
@@ -23,81 +24,83 @@
       | r1  | 0     |
       | r2  | 1     |
 
-  Scenario Outline: a message that breaks the rules ends its connection only
-    A faulty entry, or one of another make, sends a message that is well
-    formed but can't be obeyed. If the error left the connection, the agent
-    would end and all entries would lose their calls.
-    Given an agent with a connection of the run r1
-    When another connection of the run r2 is greeted
-    And connection 1 brings <message>
-    And an offer of the attempt a1 comes on connection 2
-    Then connection 1 has ended as refused
+  Scenario Outline: an invalid message ends only its connection
+    A faulty entry, or one of another implementation, sends a message that is
+    well formed but invalid. An error that left the connection's task would
+    end the agent, and all entries would lose their calls.
+    Given an agent with a connection from entry run r1
+    When another connection from entry run r2 is opened
+    And connection 1 receives <message>
+    And an offer of attempt a1 arrives on connection 2
+    Then connection 1 was closed for an invalid message
     And the target ran 1 call
 
     Examples:
       | message                                |
-      | a resource that is no JSON             |
-      | an offer whose header is no pair       |
+      | a resource that is not JSON            |
+      | an offer whose header is not a pair    |
       | an offer with a deadline of 400 digits |
-      | an offer of no finite weight           |
+      | an offer whose weight is not finite    |
       | a resume after item -1                 |
       | a message that only agents send        |
       | a second hello                         |
 
-  Scenario: a call number is used by two offers
-    Given an agent with a connection of the run r1
-    When an offer of the attempt a1 comes on connection 1
-    And an offer of the attempt a2 comes on connection 1
+  Scenario: two offers use the same call number
+    Given an agent with a connection from entry run r1
+    When an offer of attempt a1 arrives on connection 1
+    And an offer of attempt a2 arrives on connection 1
     Then the target ran 1 call
 
-  Scenario: a call number in use is given to a resume
-    Two readers under one number would leave the first one reading for ever;
-    the agent would never be drained when it is told to stop.
-    Given an agent with a connection of the run r1
-    When an offer of the attempt a1 comes on connection 1
-    And connection 1 is given a resume under the number of that offer
-    Then connection 1 has ended as refused
-
-  Scenario Outline: an agent that takes nothing gets an identifier
-    The agent is told to leave, or its engine loads, when a prepared report is
-    started again. What the agent does not hold any more may have run; a
-    caller that is told otherwise has it run twice.
-    Given an agent with a connection of the run r1
+  Scenario: a resume uses the call number of a running call
+    A second reader with the same number would leave the first one subscribed
+    forever, and the agent would never finish draining when it is stopped.
+    Given an agent with a connection from entry run r1
+    When an offer of attempt a1 arrives on connection 1
+    And a resume with the call number of that offer arrives on connection 1
+    Then connection 1 was closed for an invalid message
+
+  Scenario Outline: an identifier is offered while the agent accepts no work
+    The agent is leaving, or its engine is loading, when a prepared report is
+    started again. An identifier that the agent does not hold may have run; a
+    caller told that it did not run would have it run twice.
+    Given an agent with a connection from entry run r1
     When the agent <state>
-    And an offer of an identifier that <origin> comes on connection 1
+    And an offer of an identifier that <origin> arrives on connection 1
     Then the offer is refused with <code>
     And the target ran 0 call
 
     Examples:
-      | state      | origin                       | code            |
-      | is leaving | an earlier run gave out      | outcome_unknown |
-      | is leaving | this run held and forgot     | outcome_unknown |
-      | is leaving | waits here to be started     | not_run         |
-      | is on hold | an earlier run gave out      | outcome_unknown |
-      | is on hold | this run held and forgot     | outcome_unknown |
-      | is on hold | waits here to be started     | not_run         |
-
-  Scenario: an identifier is refused on hold and offered again
-    Its caller was told that it did not run, and may have had another run in
-    its place, when a second offer of it comes through another entry.
-    Given an agent with a connection of the run r1
-    When another connection of the run r2 is greeted
-    And the agent is on hold
-    And an offer of an identifier that waits here to be started comes on connection 1
-    And the agent is on hold no more
-    And the same offer comes on connection 2
+      | state                   | origin                    | code            |
+      | is leaving              | an earlier run issued     | outcome_unknown |
+      | is leaving              | this run held and dropped | outcome_unknown |
+      | is leaving              | is prepared here          | not_run         |
+      | has suspended admission | an earlier run issued     | outcome_unknown |
+      | has suspended admission | this run held and dropped | outcome_unknown |
+      | has suspended admission | is prepared here          | not_run         |
+
+  Scenario: an identifier is refused and offered again through another entry
+    Admission is suspended at the first offer, so the caller is told that it
+    did not run and may have had another one run in its place. The second
+    offer comes once admission has been resumed and must not run it.
+    Given an agent with a connection from entry run r1
+    When another connection from entry run r2 is opened
+    And the agent has suspended admission
+    And an offer of an identifier that is prepared here arrives on connection 1
+    And the agent has resumed admission
+    And the same offer arrives on connection 2
     Then both offers are refused with not_run
     And the target ran 0 call
 
-  Scenario: any messages of the right types
-    Then whatever messages come, only a connection's error leaves it
+  Scenario: random messages with valid types
+    Then random messages raise nothing but a connection's error
 
   Scenario Outline: an entry of another version connects
-    Hosts are replaced one by one. An entry of a later version that still
-    speaks ours is greeted in ours; were it refused, its callers would find
-    no target until the last agent is replaced.
-    Given an agent with a connection of the run r1
-    When an entry that speaks versions <oldest> to <newest> connects
+    Hosts are upgraded one by one. An entry of a later version that still
+    supports the agent's version is welcomed with that version. If it were
+    rejected, its callers would find no target until the last agent is
+    upgraded.
+    Given an agent with a connection from entry run r1
+    When an entry that supports versions <oldest> to <newest> connects
     Then the agent answers <answer>
 
     Examples:
@@ -107,29 +110,30 @@
       | 2      | 7      | reject  |
       | 0      | 0      | reject  |
 
-  Scenario: an entry of a later version that names no oldest one
-    The first version named only one; what names only one speaks only that.
-    Given an agent with a connection of the run r1
-    When an entry that speaks only version 7 connects
+  Scenario: an entry of a later version does not say its oldest version
+    The first protocol version had no field for the oldest version, so an
+    entry that sends only one version supports only that one.
+    Given an agent with a connection from entry run r1
+    When an entry that supports only version 7 connects
     Then the agent answers reject
 
-  Scenario: a prepared identifier is refused while the agent takes no work
-    The target loads a version when the start of a prepared report comes, so
-    its caller is told that it did not run, and has another one run. A
-    duplicate of the start comes when the load is done: it must not run now.
-    Given an agent with a connection of the run r1
+  Scenario: a prepared identifier is refused while admission is suspended
+    The target is loading a version when a prepared report is started, so the
+    caller is told that it did not run and has another one run. A duplicate of
+    the start arrives after the load and must not run.
+    Given an agent with a connection from entry run r1
     When an identifier is prepared on connection 1
-    And the agent takes no work
-    And the prepared identifier is offered on connection 1 under the number 2
-    And the agent takes work again
-    And the prepared identifier is offered on connection 1 under the number 3
+    And admission is suspended
+    And the prepared identifier is offered on connection 1 as call 2
+    And admission is resumed
+    And the prepared identifier is offered on connection 1 as call 3
     Then the offers were refused with not_run, not_run
     And the target ran 0 call
 
-  Scenario: an identifier that is not held comes while the agent takes no work
-    A report ran, and the agent has forgotten it since. Its start comes again
-    while the target loads a version: whether it ran can't be told here.
-    Given an agent with a connection of the run r1
-    When the agent takes no work
-    And the identifier gone is offered on connection 1 under the number 2
+  Scenario: an unknown identifier is offered while admission is suspended
+    A report ran, and the agent has dropped it since. Its start arrives again
+    while the target is loading a version; the agent can't tell whether it ran.
+    Given an agent with a connection from entry run r1
+    When admission is suspended
+    And the identifier gone is offered on connection 1 as call 2
     Then the offers were refused with outcome_unknown
--- a/packages/gentianpoint-agent/features/entry_stage.py
+++ b/packages/gentianpoint-agent/features/entry_stage.py
@@ -1,4 +1,4 @@
-"""An agent's connections of entries, without processes or sockets."""
+"""An agent with connections from entries, without processes or sockets."""
 
 from collections import abc
 import contextlib
@@ -32,7 +32,7 @@
 
 
 def make_hello(run: str, **more: typing.Any) -> dict[str, typing.Any]:
-    """Return the greeting of a run of an entry."""
+    """Return the first message of a run of an entry."""
     return {
         "type": "hello",
         "version": codec.PROTOCOL_VERSION,
@@ -47,7 +47,7 @@
 
 
 def make_offer(attempt: str, **more: typing.Any) -> dict[str, typing.Any]:
-    """Return the offer of a plain call, of number 1."""
+    """Return an offer of a plain call, with call number 1."""
     request = {
         "kind": "plain",
         "prompt": "",
@@ -75,7 +75,7 @@
 
 
 def make_resume(after: int) -> dict[str, typing.Any]:
-    """Return the resume of a generation that is not held."""
+    """Return a resume of a generation that the agent does not hold."""
     return {
         "type": "resume",
         "call": 2,
@@ -85,20 +85,24 @@
     }
 
 
-def make_broken_messages() -> abc.Mapping[str, abc.Mapping[str, typing.Any]]:
-    """Return messages that can't be obeyed, by the words of a table."""
+def make_invalid_messages() -> abc.Mapping[str, abc.Mapping[str, typing.Any]]:
+    """Return invalid messages by their descriptions in the feature."""
     return {
-        "a resource that is no JSON": {
+        "a resource that is not JSON": {
             "type": "configure",
             "offset": 9,
             "revision": 9,
             "service": b"{",
         },
-        "an offer whose header is no pair": make_offer("b", headers=[["a"]]),
+        "an offer whose header is not a pair": make_offer(
+            "b", headers=[["a"]]
+        ),
         "an offer with a deadline of 400 digits": make_offer(
             "b", start_within_ms=10**400
         ),
-        "an offer of no finite weight": make_offer("b", weight=math.nan),
+        "an offer whose weight is not finite": make_offer(
+            "b", weight=math.nan
+        ),
         "a resume after item -1": make_resume(-1),
         "a message that only agents send": {"type": "leaving", "reason": ""},
         "a second hello": make_hello("r3"),
@@ -106,20 +110,22 @@
 
 
 class FakeWebsocket:
-    """Brings what is put in; notes what is sent, or breaks at a type."""
+    """Delivers given messages and records sent ones; can break at a type."""
 
     def __init__(self) -> None:
-        """Make one that breaks nowhere."""
+        """Create a websocket that does not break."""
         self.sent: typing.Final[list[codec.MessageMap]] = []
         self.breaks_at = ""
-        self._put, self._taken = trio.open_memory_channel[bytes](math.inf)
+        self._sender, self._receiver = trio.open_memory_channel[bytes](
+            math.inf
+        )
 
-    def bring(self, message: abc.Mapping[str, typing.Any]) -> None:
-        """Let a message come."""
-        self._put.send_nowait(codec.encode_message(message))
+    def deliver(self, message: abc.Mapping[str, typing.Any]) -> None:
+        """Let ``recv`` return a message."""
+        self._sender.send_nowait(codec.encode_message(message))
 
     async def send(self, data: bytes) -> None:
-        """Note a message."""
+        """Record a message, or break at its type."""
         message = codec.decode_message(data, "agent").ok
         if message["type"] == self.breaks_at:
             raise websockets.exceptions.ConnectionClosedError(None, None)
@@ -127,14 +133,14 @@
 
     async def recv(self) -> bytes:
         """Return the next message."""
-        return await self._taken.receive()
+        return await self._receiver.receive()
 
 
 class FakeService(ports.PlainService):
-    """Notes the calls that run."""
+    """Records the calls that it runs."""
 
     def __init__(self) -> None:
-        """Have no call."""
+        """Create a service that has run no call."""
         self.calls: typing.Final[list[abc.Sequence[tuple[str, str]]]] = []
 
     @contextlib.asynccontextmanager
@@ -145,7 +151,7 @@
         headers: abc.Sequence[tuple[str, str]],
         body: bytes,
     ) -> abc.AsyncIterator[ports.PlainAnswer]:
-        """Run a call, which answers nothing."""
+        """Record a call and return a short answer."""
         self.calls.append(headers)
         yield ports.PlainAnswer(200, (), self._iterate())
 
@@ -154,7 +160,7 @@
 
 
 class EntryStage:
-    """One agent's state with its connections; make it in a trio run."""
+    """One agent's state and connections; create it inside a trio run."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         """Run connections and calls in ``nursery``."""
@@ -175,18 +181,21 @@
         )
 
     def connect(self, run: str, versions: abc.Mapping[str, int] = {}) -> None:
-        """Open a connection of a run of an entry, of ours or ``versions``."""
+        """Open a connection from an entry run that supports ``versions``.
+
+        Without ``versions`` the entry supports the agent's version.
+        """
         websocket = FakeWebsocket()
         self.websockets.append(websocket)
-        websocket.bring(make_hello(run, **versions))
+        websocket.deliver(make_hello(run, **versions))
         self._nursery.start_soon(self._serve, len(self.websockets))
 
     def suspend_admission(self) -> None:
-        """Let the agent take no new work, as while it loads a version."""
-        self.state.suspend_admission("the target loads")
+        """Suspend admission, as the agent does while its target loads."""
+        self.state.suspend_admission("the target is loading")
 
     def resume_admission(self) -> None:
-        """Let it take new work again."""
+        """Resume admission."""
         self.state.resume_admission()
 
     async def _serve(self, number: int) -> None:
@@ -205,6 +214,6 @@
             assert isinstance(error, peer_connections.PeerConnectionError)
             self.ends[number] = error.step
         except* Exception as group:
-            # In the process it would end the agent; here the step that looks
-            # for it fails, and says which it was.
+            # In the real process this would end the agent. Here the step that
+            # checks how the connection ended fails and shows the error.
             self.ends[number] = f"left the connection: {group.exceptions[0]!r}"
--- a/packages/gentianpoint-agent/features/environment.py
+++ b/packages/gentianpoint-agent/features/environment.py
@@ -1,4 +1,4 @@
-"""Ends what a scenario has started."""
+"""Ends the trio run and the processes that a scenario started."""
 
 from gentianpoint_standins import processes
 
--- a/packages/gentianpoint-agent/features/order_builders.py
+++ b/packages/gentianpoint-agent/features/order_builders.py
@@ -1,4 +1,4 @@
-"""Builders of a log in memory, and of targets that take turns through it."""
+"""An in-memory log and targets that acquire turns through it."""
 
 from collections import abc
 import math
@@ -12,21 +12,25 @@
 from gentianpoint_core import ports
 
 TURNS: typing.Final = "turns"
+"""Name of the turns in these features."""
 TURN_MS: typing.Final = 30_000
+"""Duration of a turn in milliseconds."""
 LEASE_MS: typing.Final = 10_000
-_HELD_POLL_S: typing.Final = 0.1
+"""Duration of a lease in milliseconds."""
+_BLOCKED_POLL_S: typing.Final = 0.1
+"""Interval at which a blocked call looks whether it may go on."""
 
 
 class MemoryLog(ports.Log):
-    """A log that keeps one stream in memory."""
+    """A log with one stream, which can be out or limit its rate."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty log without a rate limit."""
         self.records: typing.Final[list[ports.LogRecord]] = []
         self.first = 1
-        self.appends_a_second = math.inf
-        self._second = 0
-        self._in_second = 0
+        self.appends_per_second = math.inf
+        self._current_second = 0
+        self._appends_in_second = 0
         self.is_out = False
 
     def _check_out(self) -> None:
@@ -35,14 +39,14 @@
 
     def _check_rate(self) -> None:
         second = int(trio.current_time())
-        if second != self._second:
-            self._second, self._in_second = second, 0
-        self._in_second += 1
-        if self._in_second > self.appends_a_second:
+        if second != self._current_second:
+            self._current_second, self._appends_in_second = second, 0
+        self._appends_in_second += 1
+        if self._appends_in_second > self.appends_per_second:
             raise ports.PortError("use", "log", "429", took_effect=False)
 
     async def append_record(self, stream: str, data: bytes) -> int:
-        """Append a record."""
+        """Append a record and return its offset."""
         await trio.lowlevel.checkpoint()
         self._check_out()
         self._check_rate()
@@ -53,7 +57,7 @@
     async def read_records(
         self, stream: str, start: int, limit: int, wait_ms: int
     ) -> ports.LogSlice:
-        """Read records, or wait for the whole time."""
+        """Return records; waits the whole time when there are none."""
         await trio.lowlevel.checkpoint()
         self._check_out()
         if start > len(self.records):
@@ -63,41 +67,41 @@
         return ports.LogSlice(self.first, len(self.records) + 1, tuple(rows))
 
     def expire_all(self) -> None:
-        """Forget all records."""
+        """Expire all records."""
         self.first = len(self.records) + 1
 
 
-class HeldLog(ports.Log):
-    """A way to a log on which reads or appends may be held up."""
+class BlockableLog(ports.Log):
+    """Access to a log whose reads or appends can be blocked."""
 
     def __init__(self, log: ports.Log) -> None:
-        """Hold nothing up."""
+        """Block nothing."""
         self._log: typing.Final = log
-        self.reads_held = False
-        self.appends_held = False
+        self.reads_blocked = False
+        self.appends_blocked = False
 
     async def append_record(self, stream: str, data: bytes) -> int:
-        """Append a record, perhaps later."""
-        while self.appends_held:
-            await trio.sleep(_HELD_POLL_S)
+        """Append a record once appends are not blocked."""
+        while self.appends_blocked:
+            await trio.sleep(_BLOCKED_POLL_S)
         return await self._log.append_record(stream, data)
 
     async def read_records(
         self, stream: str, start: int, limit: int, wait_ms: int
     ) -> ports.LogSlice:
-        """Read records, perhaps later."""
-        while self.reads_held:
-            await trio.sleep(_HELD_POLL_S)
+        """Return records once reads are not blocked."""
+        while self.reads_blocked:
+            await trio.sleep(_BLOCKED_POLL_S)
         return await self._log.read_records(stream, start, limit, wait_ms)
 
 
-class TurnTaker:
-    """A target of its own that takes a turn of some units."""
+class TurnTarget:
+    """A target that acquires turns, with a stream and lease of its own."""
 
     def __init__(self, log: ports.Log, name: str, limit: int) -> None:
-        """Share turns of ``limit`` units."""
+        """Share ``limit`` units with the other targets of ``log``."""
         self.name: typing.Final = name
-        self.log: typing.Final = HeldLog(log)
+        self.log: typing.Final = BlockableLog(log)
         self.stream: typing.Final = order_stream.OrderStream(
             self.log, name, f"run-of-{name}"
         )
@@ -111,26 +115,27 @@
         self.outcome = ""
         self._limit: typing.Final = limit
 
-    async def claim_and_take(self, units: int) -> None:
-        """Claim the target and take a turn."""
+    async def claim_and_acquire(self, units: int) -> None:
+        """Claim the target and acquire a turn."""
         await self.lease.claim()
-        await self.take(units)
+        await self.acquire(units)
 
-    async def take(self, units: int) -> None:
-        """Take a turn, and note how that went."""
-        taken = await self.turns.acquire(
+    async def acquire(self, units: int) -> None:
+        """Acquire a turn and store the outcome."""
+        acquired = await self.turns.acquire(
             units, lambda: self._limit, lambda: self.is_wanted
         )
-        self.outcome = "taken" if taken else "not wanted"
+        self.outcome = "acquired" if acquired else "not wanted"
 
-    async def take_and_keep_up(self, units: int) -> None:
-        """Take a turn and keep it up for ever."""
-        await self.claim_and_take(units)
+    async def acquire_and_renew(self, units: int) -> None:
+        """Acquire a turn and renew it forever."""
+        await self.claim_and_acquire(units)
         await self.turns.keep_renewed()
 
 
-def count_taken(takers: abc.Iterable[TurnTaker]) -> int:
-    """Return how many hold a turn."""
+def count_holders(targets: abc.Iterable[TurnTarget]) -> int:
+    """Return how many targets hold a turn."""
     return sum(
-        taker.outcome == "taken" and taker.turns.is_held() for taker in takers
+        target.outcome == "acquired" and target.turns.is_held()
+        for target in targets
     )
--- a/packages/gentianpoint-agent/features/report_reader.py
+++ b/packages/gentianpoint-agent/features/report_reader.py
@@ -1,4 +1,4 @@
-"""Reads an agent's reports as an entry does."""
+"""Reads load reports from an agent as an entry does."""
 
 import functools
 import typing
@@ -11,14 +11,15 @@
 from gentianpoint_entry import link_settings
 from gentianpoint_standins import processes
 
-_WITHIN_S: typing.Final = 30
+_TIMEOUT_S: typing.Final = 30
+"""Time in which a matching report must arrive, in seconds."""
 _SETTINGS: typing.Final = link_settings.LinkSettings(
     "reader", "incarnation", "zona-norte", "", 1000, 3000, 64, 2**20
 )
 
 
 async def _configure(link: agent_links.AgentLink) -> None:
-    """Tell the agent nothing of its service."""
+    """Send the agent no service configuration."""
     await trio.sleep_forever()
 
 
@@ -39,7 +40,7 @@
     )
     settings = _SETTINGS._replace(peer_key=peer_key)
     link = agent_links.AgentLink(host, settings, lambda: None)
-    with trio.fail_after(_WITHIN_S):
+    with trio.fail_after(_TIMEOUT_S):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(link.run, _configure)
             while (report := link.report) is None or not matches(report):
@@ -54,7 +55,7 @@
     service: str,
     matches: typing.Callable[[messages.Report], bool],
 ) -> messages.Report:
-    """Return the first report that matches; fails when none comes."""
+    """Return the first report that matches, or fail after a timeout."""
     return trio.run(
         functools.partial(_read, agent, service, deployment.peer_key, matches)
     )
--- a/packages/gentianpoint-agent/features/runner_builders.py
+++ b/packages/gentianpoint-agent/features/runner_builders.py
@@ -1,4 +1,4 @@
-"""Builders of a call that waits for its turn."""
+"""A call whose admission and answer the steps control."""
 
 from collections import abc
 import contextlib
@@ -36,30 +36,30 @@
 }
 
 
-class HeldControl:
-    """Admission that gives the turn when the test says so."""
+class ManualControl:
+    """Admission control that admits calls when a step says so."""
 
     def __init__(self) -> None:
-        """Hold the turn."""
-        self.turn = trio.Event()
+        """Admit nothing yet."""
+        self.admitted = trio.Event()
 
     @contextlib.asynccontextmanager
     async def enter(
         self, profile: admission_policy.CallProfile
     ) -> abc.AsyncIterator[None]:
-        """Wait for the turn."""
-        await self.turn.wait()
+        """Wait for admission."""
+        await self.admitted.wait()
         yield None
 
 
 class CountingRunner(call_runner.CallRunner):
-    """Counts how often the target was called."""
+    """Counts the calls to the target and answers when told to."""
 
     def __init__(self, control: typing.Any) -> None:
-        """Call nothing yet."""
+        """Create a runner that has called nothing yet."""
         super().__init__(control)
         self.calls = 0
-        self.answer = trio.Event()
+        self.may_answer = trio.Event()
 
     async def call_target(
         self,
@@ -69,21 +69,21 @@
     ) -> generations.GenerationEnd:
         """Count the call and wait for the answer."""
         self.calls += 1
-        await self.answer.wait()
+        await self.may_answer.wait()
         return generations.GenerationEnd(generations.STOP)
 
     async def cancel_at_target(
         self, generation: generations.Generation
     ) -> None:
-        """Stop nothing."""
+        """Do nothing: there is no target."""
 
 
-class HeldRun:
-    """One call with its runner."""
+class ControlledCall:
+    """One call with its runner and admission control."""
 
     def __init__(self, start_within_ms: int) -> None:
-        """Make a call with a deadline to start."""
-        self.control = HeldControl()
+        """Create a call that must start within ``start_within_ms``."""
+        self.control = ManualControl()
         self.runner = CountingRunner(self.control)
         self.generation = generations.Generation(
             "t~i~1~s", "rebobinados", False, False
@@ -99,10 +99,10 @@
         """Run the call to its end."""
         await self.runner.run(self.generation, self.call)
 
-    def give_turn(self) -> None:
-        """Let the call pass admission."""
-        self.control.turn.set()
+    def admit(self) -> None:
+        """Admit the call."""
+        self.control.admitted.set()
 
-    def answer_at_once(self) -> None:
-        """Let the target answer."""
-        self.runner.answer.set()
+    def let_target_answer(self) -> None:
+        """Let the target answer, now or when it is called."""
+        self.runner.may_answer.set()
--- a/packages/gentianpoint-agent/features/steps/call_runner_steps.py
+++ b/packages/gentianpoint-agent/features/steps/call_runner_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the last check before a start."""
+"""Steps for the checks right before a call starts."""
 
 import behave
 import runner_builders
@@ -8,50 +8,50 @@
 @behave.given("a call that must start within {within:d} ms")
 def make_call(context, within):
     context.stage = trio_stage.TrioStage()
-    context.run = context.stage.call(runner_builders.HeldRun, within)
-    context.stage.start_task(context.run.run)
+    context.call = context.stage.call(runner_builders.ControlledCall, within)
+    context.stage.start_task(context.call.run)
 
 
-@behave.when("its turn comes after {wait:d} ms")
-def take_turn(context, wait):
-    context.stage.clock.jump(wait / 1000)
-    context.run.answer_at_once()
-    context.stage.call(context.run.give_turn)
+@behave.when("it is admitted after {delay:d} ms")
+def admit(context, delay):
+    context.stage.clock.jump(delay / 1000)
+    context.call.let_target_answer()
+    context.stage.call(context.call.admit)
 
 
-@behave.when("its turn comes after {wait:d} ms and the target takes long")
-def take_long_turn(context, wait):
-    context.stage.clock.jump(wait / 1000)
-    context.stage.call(context.run.give_turn)
+@behave.when("it is admitted after {delay:d} ms and the target takes long")
+def admit_without_answer(context, delay):
+    context.stage.clock.jump(delay / 1000)
+    context.stage.call(context.call.admit)
 
 
-@behave.when("its turn comes and it is withdrawn in the same moment")
-def withdraw_at_turn(context):
+@behave.when("it is admitted and withdrawn at the same moment")
+def withdraw_on_admission(context):
     def do_both():
-        context.run.give_turn()
-        context.run.generation.retract()
+        context.call.admit()
+        context.call.generation.retract()
 
-    context.run.answer_at_once()
+    context.call.let_target_answer()
     context.stage.call(do_both)
 
 
 @behave.when("it is withdrawn while it waits")
 @behave.when("it is withdrawn while it runs")
 def withdraw(context):
-    context.stage.call(context.run.generation.retract)
+    context.stage.call(context.call.generation.retract)
 
 
 @behave.when("the target answers")
 def answer(context):
-    context.stage.call(context.run.answer_at_once)
+    context.stage.call(context.call.let_target_answer)
 
 
 @behave.then("the target was called {times:d} times")
 def check_calls(context, times):
-    assert context.run.runner.calls == times, context.run.runner.calls
+    assert context.call.runner.calls == times, context.call.runner.calls
 
 
 @behave.then("the call ended with {reason}")
 def check_end(context, reason):
-    end = context.run.generation.end
+    end = context.call.generation.end
     assert end is not None and end.reason == reason, end
--- a/packages/gentianpoint-agent/features/steps/entry_connections_steps.py
+++ b/packages/gentianpoint-agent/features/steps/entry_connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the connections of entries."""
+"""Steps for connections from entries."""
 
 import functools
 
@@ -14,8 +14,8 @@
 from gentianpoint_core.generated import messages
 
 EXAMPLES = 150
-REFUSED = ("decode message", "read message")
-CLASSES = (
+INVALID_MESSAGE_STEPS = ("decode message", "read message")
+MESSAGE_TYPES = (
     messages.Offer,
     messages.Prepare,
     messages.Resume,
@@ -27,8 +27,8 @@
 )
 
 
-@behave.given("an agent with a connection of the run {run}")
-def make_stage(context, run):
+@behave.given("an agent with a connection from entry run {run}")
+def make_agent(context, run):
     context.stage = trio_stage.TrioStage()
     context.agent = context.stage.call(
         entry_stage.EntryStage, context.stage.nursery
@@ -41,20 +41,22 @@
     context.agent.websockets[0].breaks_at = kind
 
 
-@behave.when("another connection of the run {run} is greeted")
+@behave.when("another connection from entry run {run} is opened")
 def connect_again(context, run):
     context.stage.call(context.agent.connect, run)
     sent = context.agent.websockets[-1].sent
     assert sent[0]["type"] == "welcome", sent
 
 
-@behave.when("an entry that speaks versions {oldest:d} to {newest:d} connects")
+@behave.when(
+    "an entry that supports versions {oldest:d} to {newest:d} connects"
+)
 def connect_versions(context, oldest, newest):
     versions = {"oldest_version": oldest, "version": newest}
     context.stage.call(context.agent.connect, "r2", versions)
 
 
-@behave.when("an entry that speaks only version {version:d} connects")
+@behave.when("an entry that supports only version {version:d} connects")
 def connect_version(context, version):
     context.stage.call(context.agent.connect, "r2", {"version": version})
 
@@ -67,29 +69,29 @@
         assert first["version"] == codec.PROTOCOL_VERSION, first
 
 
-@behave.when(
-    "an offer of the attempt {attempt} comes on connection {number:d}"
-)
-def bring_offer(context, attempt, number):
+@behave.when("an offer of attempt {attempt} arrives on connection {number:d}")
+def deliver_offer(context, attempt, number):
     websocket = context.agent.websockets[number - 1]
-    context.stage.call(websocket.bring, entry_stage.make_offer(attempt))
+    context.stage.call(websocket.deliver, entry_stage.make_offer(attempt))
 
 
-@behave.when("connection {number:d} brings {words}")
-def bring_broken(context, number, words):
+@behave.when("connection {number:d} receives {description}")
+def deliver_invalid(context, number, description):
     websocket = context.agent.websockets[number - 1]
-    message = entry_stage.make_broken_messages()[words]
-    context.stage.call(websocket.bring, message)
+    message = entry_stage.make_invalid_messages()[description]
+    context.stage.call(websocket.deliver, message)
 
 
-@behave.when("connection 1 is given a resume under the number of that offer")
-def bring_resume(context):
+@behave.when(
+    "a resume with the call number of that offer arrives on connection 1"
+)
+def deliver_resume(context):
     websocket = context.agent.websockets[0]
     admitted = [row for row in websocket.sent if row["type"] == "admitted"]
     message = entry_stage.make_resume(0)
     message["generation"] = admitted[0]["generation"]
     message["call"] = admitted[0]["call"]
-    context.stage.call(websocket.bring, message)
+    context.stage.call(websocket.deliver, message)
 
 
 @behave.when("the agent is leaving")
@@ -98,32 +100,32 @@
     context.stage.call(lifecycle.start_leaving, "told to stop")
 
 
-@behave.when("the agent is on hold")
-def suspend_admission(context):
-    context.agent.state.suspend_admission("the engine loads")
+@behave.when("the agent has suspended admission")
+def suspend_directly(context):
+    context.agent.state.suspend_admission("the engine is loading")
 
 
-@behave.when("an offer of an identifier that {origin} comes on connection 1")
-def bring_identifier(context, origin):
+@behave.when("an offer of an identifier that {origin} arrives on connection 1")
+def deliver_identifier(context, origin):
     table = context.agent.state.table
     prepared = context.stage.call(table.prepare, "one").identifier
     identifier = {
-        "an earlier run gave out": "target-1~earlier~1~0123456789abcdef",
-        "this run held and forgot": prepared.replace("~1~", "~2~"),
-        "waits here to be started": prepared,
+        "an earlier run issued": "target-1~earlier~1~0123456789abcdef",
+        "this run held and dropped": prepared.replace("~1~", "~2~"),
+        "is prepared here": prepared,
     }[origin]
     context.offer = entry_stage.make_offer("a1", generation=identifier)
-    context.stage.call(context.agent.websockets[0].bring, context.offer)
+    context.stage.call(context.agent.websockets[0].deliver, context.offer)
 
 
-@behave.when("the agent is on hold no more")
-def resume_admission(context):
+@behave.when("the agent has resumed admission")
+def resume_directly(context):
     context.agent.state.resume_admission()
 
 
-@behave.when("the same offer comes on connection 2")
-def bring_same(context):
-    context.stage.call(context.agent.websockets[1].bring, context.offer)
+@behave.when("the same offer arrives on connection 2")
+def deliver_same_offer(context):
+    context.stage.call(context.agent.websockets[1].deliver, context.offer)
 
 
 @behave.then("both offers are refused with {code}")
@@ -139,8 +141,8 @@
 
 def check_refusal(websocket, code):
     sent = websocket.sent
-    told = [row["code"] for row in sent if row["type"] == "refused"]
-    assert told == [code], sent
+    codes = [row["code"] for row in sent if row["type"] == "refused"]
+    assert codes == [code], sent
 
 
 @behave.then("the target ran {count:d} call")
@@ -148,30 +150,32 @@
     assert len(context.agent.target.calls) == count
 
 
-@behave.then("connection {number:d} has ended as refused")
+@behave.then("connection {number:d} was closed for an invalid message")
 def check_refused(context, number):
-    assert context.agent.ends.get(number) in REFUSED, context.agent.ends
+    assert context.agent.ends.get(number) in INVALID_MESSAGE_STEPS, (
+        context.agent.ends
+    )
 
 
-async def bring_all(rows):
+async def deliver_all(rows):
     async with trio.open_nursery() as nursery:
         agent = entry_stage.EntryStage(nursery)
         agent.connect("r1")
         for row in rows:
-            agent.websockets[0].bring(row)
+            agent.websockets[0].deliver(row)
         await trio.testing.wait_all_tasks_blocked()
         nursery.cancel_scope.cancel()
-    # Whatever came, the connection lives or was ended as refused.
+    # The connection is still open or was closed for an invalid message.
     end = agent.ends.get(1, "read message")
-    assert end in REFUSED, end
+    assert end in INVALID_MESSAGE_STEPS, end
 
 
 def make_rows():
-    kinds = [strategies.from_type(kind) for kind in CLASSES]
+    kinds = [strategies.from_type(kind) for kind in MESSAGE_TYPES]
     return strategies.lists(strategies.one_of(kinds), max_size=6)
 
 
-@behave.then("whatever messages come, only a connection's error leaves it")
+@behave.then("random messages raise nothing but a connection's error")
 def check_all(context):
     @hypothesis.settings(
         max_examples=EXAMPLES,
@@ -181,45 +185,43 @@
     )
     @hypothesis.given(make_rows())
     def check(rows):
-        trio.run(functools.partial(bring_all, rows))
+        trio.run(functools.partial(deliver_all, rows))
 
     check()
 
 
 @behave.when("an identifier is prepared on connection 1")
-def bring_prepare(context):
+def deliver_prepare(context):
     websocket = context.agent.websockets[0]
     message = {"type": "prepare", "call": 1, "customer": "one"}
-    context.stage.call(websocket.bring, message)
+    context.stage.call(websocket.deliver, message)
     rows = [row for row in websocket.sent if row["type"] == "prepared"]
     context.identifier = rows[0]["generation"]
 
 
-@behave.when("the agent takes no work")
-def hold_agent(context):
+@behave.when("admission is suspended")
+def suspend_admission(context):
     context.stage.call(context.agent.suspend_admission)
 
 
-@behave.when("the agent takes work again")
-def release_agent(context):
+@behave.when("admission is resumed")
+def resume_admission(context):
     context.stage.call(context.agent.resume_admission)
 
 
 @behave.when(
-    "the prepared identifier is offered on connection 1 under the number"
-    " {number:d}"
+    "the prepared identifier is offered on connection 1 as call {number:d}"
 )
-def bring_prepared_offer(context, number):
+def offer_prepared(context, number):
     offer_identifier(context, context.identifier, number)
 
 
 @behave.when(
-    "the identifier {identifier} is offered on connection 1 under the number"
-    " {number:d}"
+    "the identifier {identifier} is offered on connection 1 as call {number:d}"
 )
 def offer_identifier(context, identifier, number):
     offer = entry_stage.make_offer("a", call=number, generation=identifier)
-    context.stage.call(context.agent.websockets[0].bring, offer)
+    context.stage.call(context.agent.websockets[0].deliver, offer)
 
 
 @behave.then("the offers were refused with {codes}")
--- a/packages/gentianpoint-agent/features/steps/generation_table_steps.py
+++ b/packages/gentianpoint-agent/features/steps/generation_table_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the table of generations."""
+"""Steps for the generation table."""
 
 import functools
 
@@ -60,7 +60,7 @@
 @behave.then("1 start was new and all got the same generation")
 def check_one_new(context):
     assert sum(is_new for _, is_new in context.starts) == 1
-    assert len({id(found) for found, _ in context.starts}) == 1
+    assert len({id(started) for started, _ in context.starts}) == 1
 
 
 @behave.when("nothing happens")
@@ -68,13 +68,13 @@
     pass
 
 
-@behave.when("{seconds:d} seconds go by")
-def let_time_go(context, seconds):
+@behave.when("the clock advances by {seconds:d} seconds")
+def advance_clock(context, seconds):
     context.stage.clock.jump(seconds)
 
 
-@behave.when("the agent is run again")
-def run_again(context):
+@behave.when("the agent restarts")
+def restart(context):
     use_table(context)
 
 
@@ -96,8 +96,8 @@
     assert table.cancel(context.identifier, OWNER)
 
 
-@behave.when("it was started, ended and was forgotten")
-def forget_first(context):
+@behave.when("it was started, ended and was dropped")
+def drop_first(context):
     end_first(context, "stop")
     context.stage.clock.jump(3600)
     context.stage.call(context.generation_table.drop_expired)
@@ -139,7 +139,7 @@
     context.stage.call(prepare)
 
 
-@behave.then("one more is refused with not_run and a time to come back")
+@behave.then("one more is refused with not_run and a retry delay")
 def check_full(context):
     try:
         context.stage.call(context.generation_table.prepare, OWNER)
@@ -147,10 +147,10 @@
         assert error.code == errors.NOT_RUN
         assert error.retry_after_ms > 0
     else:
-        raise AssertionError("the table takes more")
+        raise AssertionError("the table issued one more identifier")
 
 
-@behave.then("after {seconds:d} seconds one more is given out")
+@behave.then("after {seconds:d} seconds one more can be prepared")
 def check_room(context, seconds):
     context.stage.clock.jump(seconds)
     context.stage.call(context.generation_table.drop_expired)
@@ -191,22 +191,22 @@
     assert context.generation_table.find(context.ended[-1], OWNER) is not None
 
 
-@behave.when("the identifier stays as it is")
+@behave.when("the identifier is unchanged")
 def keep_identifier(context):
     pass
 
 
-@behave.when("the identifier is of another number")
+@behave.when("the identifier has another number")
 def change_number(context):
     context.identifier = context.identifier.replace("~1~", "~2~")
 
 
-@behave.when("the identifier is of another target")
+@behave.when("the identifier has another target")
 def change_target(context):
     context.identifier = context.identifier.replace("target-1", "target-2")
 
 
-@behave.when("the identifier is no identifier at all")
+@behave.when("the identifier is malformed")
 def break_identifier(context):
     context.identifier = "target-1"
 
@@ -240,8 +240,8 @@
     context.adopted = adopt(context)
 
 
-@behave.when("rebobinados asks for it")
-def adopt_asked(context):
+@behave.when("rebobinados requests it")
+def adopt_requested(context):
     context.adopted = adopt(context, customer=OWNER)
 
 
@@ -268,12 +268,12 @@
     assert table.find(context.identifier, customer) is None
 
 
-@behave.then("a cancel by rebobinados is in vain")
-def check_cancel_in_vain(context):
+@behave.then("a cancel by rebobinados is not confirmed")
+def check_cancel_not_confirmed(context):
     assert not context.generation_table.cancel(context.identifier, OWNER)
 
 
-@behave.then("a cancel by rebobinados takes effect")
+@behave.then("a cancel by rebobinados is confirmed")
 def check_cancelled(context):
     assert context.generation_table.cancel(context.identifier, OWNER)
     assert context.adopted.is_cancelled()
--- a/packages/gentianpoint-agent/features/steps/order_turns_steps.py
+++ b/packages/gentianpoint-agent/features/steps/order_turns_steps.py
@@ -1,4 +1,4 @@
-"""Steps for turns through the log, on a clock that the test moves."""
+"""Steps for turns through the log, on a clock that the steps advance."""
 
 import functools
 import statistics
@@ -18,27 +18,27 @@
 def make_targets(context, count, limit):
     context.stage = trio_stage.TrioStage()
     context.log = context.stage.call(order_builders.MemoryLog)
-    context.takers = [
+    context.targets = [
         context.stage.call(
-            order_builders.TurnTaker, context.log, f"target-{number}", limit
+            order_builders.TurnTarget, context.log, f"target-{number}", limit
         )
         for number in range(1, count + 1)
     ]
     context.scopes = {}
 
 
-@behave.given("a log that takes {count:d} appends a second")
+@behave.given("a log that accepts {count:d} appends a second")
 def limit_rate(context, count):
-    context.log.appends_a_second = count
+    context.log.appends_per_second = count
 
 
-def count_taken(context, takers):
-    return context.stage.call(order_builders.count_taken, takers)
+def count_holders(context, targets):
+    return context.stage.call(order_builders.count_holders, targets)
 
 
-def start_taker(context, taker, function, units):
+def start_request(context, target, function, units):
     scope = trio.CancelScope()
-    context.scopes[taker.name] = scope
+    context.scopes[target.name] = scope
 
     async def run():
         with scope:
@@ -47,32 +47,30 @@
     context.stage.start_task(run)
 
 
-@behave.when("all ask for {units:d} units")
-def ask_all(context, units):
-    for taker in context.takers:
-        start_taker(context, taker, taker.claim_and_take, units)
+@behave.when("all request {units:d} units")
+def request_all(context, units):
+    for target in context.targets:
+        start_request(context, target, target.claim_and_acquire, units)
     pass_time(context, 2)
 
 
-@behave.when("target {number:d} asks for {units:d} units")
-def ask_one(context, number, units):
-    taker = context.takers[number - 1]
-    start_taker(context, taker, taker.claim_and_take, units)
+@behave.when("target {number:d} requests {units:d} units")
+def request_one(context, number, units):
+    target = context.targets[number - 1]
+    start_request(context, target, target.claim_and_acquire, units)
     pass_time(context, 1)
 
 
-@behave.when(
-    "target {number:d} asks for {units:d} units and keeps its turn up"
-)
-def ask_and_keep(context, number, units):
-    taker = context.takers[number - 1]
-    start_taker(context, taker, taker.take_and_keep_up, units)
+@behave.when("target {number:d} requests {units:d} units and renews its turn")
+def request_and_renew(context, number, units):
+    target = context.targets[number - 1]
+    start_request(context, target, target.acquire_and_renew, units)
     pass_time(context, 1)
 
 
-@behave.when("target {number:d} asks for {units:d} units and dies")
-def ask_and_die(context, number, units):
-    ask_one(context, number, units)
+@behave.when("target {number:d} requests {units:d} units and dies")
+def request_and_die(context, number, units):
+    request_one(context, number, units)
     scope = context.scopes[f"target-{number}"]
     context.stage.call(scope.cancel)
 
@@ -83,27 +81,27 @@
         context.stage.pass_time(0.1)
 
 
-@behave.when("those give theirs back")
+@behave.when("the holders release their turns")
 def release(context):
-    for taker in context.takers:
-        if context.stage.call(taker.turns.is_held):
-            call(context, taker.turns.release)
-            taker.outcome = "given back"
+    for target in context.targets:
+        if context.stage.call(target.turns.is_held):
+            run_async(context, target.turns.release)
+            target.outcome = "released"
     pass_time(context, 5)
 
 
-@behave.when("target {number:d} gives its turn back")
-def give_one_back(context, number):
-    call(context, context.takers[number - 1].turns.release)
+@behave.when("target {number:d} releases its turn")
+def release_one(context, number):
+    run_async(context, context.targets[number - 1].turns.release)
 
 
-@behave.when("target {number:d} no longer wants it")
+@behave.when("target {number:d} no longer wants a turn")
 def stop_wanting(context, number):
-    context.takers[number - 1].is_wanted = False
+    context.targets[number - 1].is_wanted = False
 
 
-def call(context, function, *args):
-    """Run an asynchronous function in the stage and return its outcome."""
+def run_async(context, function, *args):
+    """Run an async function in the stage; return its result or error."""
     outcome = []
 
     async def run():
@@ -121,81 +119,82 @@
 
 
 @behave.when(
-    "the reads of target {number:d} are held up as it asks for {units:d} units"
+    "target {number:d} requests {units:d} units while its reads are blocked"
 )
-def ask_with_held_reads(context, number, units):
-    taker = context.takers[number - 1]
-    call(context, taker.lease.claim)
-    taker.log.reads_held = True
-    start_taker(context, taker, taker.take, units)
+def request_with_blocked_reads(context, number, units):
+    target = context.targets[number - 1]
+    run_async(context, target.lease.claim)
+    target.log.reads_blocked = True
+    start_request(context, target, target.acquire, units)
 
 
-@behave.when("the appends of target {number:d} are held up instead")
-def hold_appends(context, number):
-    log = context.takers[number - 1].log
-    log.appends_held = True
-    log.reads_held = False
+@behave.when("the appends of target {number:d} are blocked instead")
+def block_appends(context, number):
+    log = context.targets[number - 1].log
+    log.appends_blocked = True
+    log.reads_blocked = False
 
 
-@behave.when("nothing is held up")
-def hold_nothing(context):
-    for taker in context.takers:
-        taker.log.appends_held = taker.log.reads_held = False
+@behave.when("nothing is blocked")
+def unblock_all(context):
+    for target in context.targets:
+        target.log.appends_blocked = target.log.reads_blocked = False
 
 
-@behave.when("the log is out and target {number:d} asks for {units:d} units")
-def ask_without_log(context, number, units):
-    taker = context.takers[number - 1]
-    call(context, taker.lease.claim)
+@behave.when("the log is out and target {number:d} requests {units:d} units")
+def request_without_log(context, number, units):
+    target = context.targets[number - 1]
+    run_async(context, target.lease.claim)
     context.log.is_out = True
-    context.answer = call(context, taker.take, units)
+    context.answer = run_async(context, target.acquire, units)
 
 
-@behave.then("target {number:d} was told that the log can't be used")
-def check_told(context, number):
+@behave.then("target {number:d} got an error from the log")
+def check_log_error(context, number):
     assert isinstance(context.answer, ports.PortError), context.answer
 
 
-@behave.then("{count:d} targets have a turn")
-@behave.then("{count:d} target has a turn")
+@behave.then("{count:d} targets hold a turn")
+@behave.then("{count:d} target holds a turn")
 def check_count(context, count):
-    taken = count_taken(context, context.takers)
-    assert taken == count, [taker.outcome for taker in context.takers]
+    holders = count_holders(context, context.targets)
+    assert holders == count, [target.outcome for target in context.targets]
 
 
-@behave.then("target {number:d} has a turn")
-def check_has(context, number):
-    assert count_taken(context, [context.takers[number - 1]]) == 1
+@behave.then("target {number:d} holds a turn")
+def check_holds(context, number):
+    assert count_holders(context, [context.targets[number - 1]]) == 1
 
 
-@behave.then("target {number:d} has no turn")
-def check_has_not(context, number):
-    assert count_taken(context, [context.takers[number - 1]]) == 0
+@behave.then("target {number:d} holds no turn")
+def check_holds_none(context, number):
+    assert count_holders(context, [context.targets[number - 1]]) == 0
 
 
 @behave.then("target {number:d} has given up")
 def check_given_up(context, number):
-    assert context.takers[number - 1].outcome == "not wanted"
+    assert context.targets[number - 1].outcome == "not wanted"
 
 
-async def write_records(log, count):
-    other = order_builders.TurnTaker(log, "other", 1)
+async def append_records(log, count):
+    other = order_builders.TurnTarget(log, "other", 1)
     for _ in range(count):
         await other.stream.append(order_records.RENEWAL)
 
 
 @behave.when(
-    "target {number:d} has read on while others wrote {count:d} records"
+    "target {number:d} reads in the background while others append "
+    "{count:d} records"
 )
-def read_on(context, number, count):
-    context.stage.start_task(context.takers[number - 1].stream.tail)
-    call(context, write_records, context.log, count)
+def read_in_background(context, number, count):
+    context.stage.start_task(context.targets[number - 1].stream.tail)
+    run_async(context, append_records, context.log, count)
     pass_time(context, 121)
 
 
-@behave.when("others wrote {count:d} records and all records expire")
-def write_and_expire(context, count):
-    call(context, write_records, context.log, count)
+@behave.when("others append {count:d} records and all records expire")
+def append_and_expire(context, count):
+    run_async(context, append_records, context.log, count)
     context.log.expire_all()
 
 
@@ -206,31 +205,31 @@
 
 @behave.then("target {number:d} can renew its lease")
 def check_renews(context, number):
-    assert call(context, context.takers[number - 1].lease.renew) is True
+    assert run_async(context, context.targets[number - 1].lease.renew) is True
 
 
 @behave.then("target {number:d} can't renew its lease")
-def check_gave_up(context, number):
-    assert call(context, context.takers[number - 1].lease.renew) is False
+def check_renewal_refused(context, number):
+    assert run_async(context, context.targets[number - 1].lease.renew) is False
 
 
 @behave.when(
-    "{count:d} waits of {targets:d} targets of {size:d} bytes at {rate:d} "
+    "{count:d} delays of {targets:d} targets of {size:d} bytes at {rate:d} "
     "bytes a second are drawn"
 )
-def draw_waits(context, count, targets, size, rate):
+def draw_delays(context, count, targets, size, rate):
     reads = weight_reads.WeightReads(None, rate, None)
     draw = functools.partial(reads.choose_delay_s, size, targets)
-    context.waits = [draw() for _ in range(count)]
+    context.delays = [draw() for _ in range(count)]
 
 
 @behave.then(
     "all are between 0 and {most:d} seconds and their mean is near "
     "{mean:d} seconds"
 )
-def check_waits(context, most, mean):
-    assert min(context.waits) >= 0
-    assert max(context.waits) <= most
-    # The mean of 1000 draws is off by more than a fifth of a second less
-    # than once in a hundred thousand times eight standard errors.
-    assert abs(statistics.mean(context.waits) - mean) < most / 10
+def check_delays(context, most, mean):
+    assert min(context.delays) >= 0
+    assert max(context.delays) <= most
+    # The tolerance is about eleven standard errors of the mean of 1000
+    # uniform draws, so correct delays practically never fail.
+    assert abs(statistics.mean(context.delays) - mean) < most / 10
--- a/packages/gentianpoint-agent/features/trio_stage.py
+++ b/packages/gentianpoint-agent/features/trio_stage.py
@@ -1,7 +1,8 @@
-"""A trio run beside the steps, on a clock that only moves when told.
+"""A trio run in a background thread, with a clock that steps advance.
 
-Each step runs in it until all tasks wait, so the order of events is the same
-each time and no test waits for real time.
+behave steps are synchronous. They call into the run, which goes on until all
+its tasks are blocked, so that the order of events is the same each time and
+no test waits in real time.
 """
 
 import functools
@@ -14,10 +15,10 @@
 
 
 class TrioStage:
-    """Runs asynchronous parts of steps, and tasks that outlive them."""
+    """Runs the async parts of steps, and tasks that outlive a step."""
 
     def __init__(self) -> None:
-        """Start the run."""
+        """Start the trio run in its thread."""
         self.clock: typing.Final = trio.testing.MockClock()
         self.nursery: trio.Nursery
         self._token: trio.lowlevel.TrioToken
@@ -37,7 +38,7 @@
             ready.put(None)
             await trio.sleep_forever()
 
-    async def _settle(
+    async def _call_and_settle(
         self, function: typing.Callable[..., typing.Any], *args: typing.Any
     ) -> typing.Any:
         result = function(*args)
@@ -47,25 +48,25 @@
     def call(
         self, function: typing.Callable[..., typing.Any], *args: typing.Any
     ) -> typing.Any:
-        """Call a function in the run and wait until all tasks wait."""
+        """Call a function inside the run; return once all tasks block."""
         return trio.from_thread.run(
-            functools.partial(self._settle, function, *args),
+            functools.partial(self._call_and_settle, function, *args),
             trio_token=self._token,
         )
 
     def start_task(
         self, function: typing.Callable[..., typing.Any], *args: typing.Any
     ) -> None:
-        """Start a task and wait until all tasks wait."""
+        """Start a task in the run; return once all tasks block."""
         self.call(functools.partial(self.nursery.start_soon, function, *args))
 
     def pass_time(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock and let the tasks run that it wakes."""
         self.call(self.clock.jump, seconds)
         self.call(lambda: None)
 
     def close(self) -> None:
-        """End the run."""
+        """Cancel all tasks and end the run."""
         trio.from_thread.run_sync(
             self.nursery.cancel_scope.cancel, trio_token=self._token
         )
