--- a/packages/gentianpoint-agent/features/agent_builders.py
+++ b/packages/gentianpoint-agent/features/agent_builders.py
@@ -13,7 +13,9 @@
 from gentianpoint_core import ports
 
 SERVICE: typing.Final = "modelo-taller"
+"""Name of the service, and of the model that its engine has loaded."""
 PEER_KEY: typing.Final = "key-of-peers"
+"""Key that signs identifiers."""
 
 
 def make_profile(
--- a/packages/gentianpoint-agent/features/entry_stage.py
+++ b/packages/gentianpoint-agent/features/entry_stage.py
@@ -29,6 +29,7 @@
     "",
     target_kind="plain",
 )
+"""Settings of an agent of a plain service."""
 
 
 def make_hello(run: str, **more: typing.Any) -> dict[str, typing.Any]:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent_state.py
@@ -175,7 +175,7 @@
                 generation.cancel()
 
     def mark_running_shared(self) -> None:
-        """Let the running streams run to their ends after a long pause.
+        """Exempt running generations from abandonment after a long pause.
 
         While this process was paused, entries gave it up, and a later run
         may have adopted its streams. Here they look like orphans; cancelling
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -104,6 +104,7 @@
         ],
         finish_by: deadlines.Deadline,
     ) -> generations.GenerationEnd:
+        """Do ``work`` unless it is cancelled or ``finish_by`` passes."""
         outcome: list[generations.GenerationEnd] = []
         async with trio.open_nursery() as nursery:
 
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -57,7 +57,7 @@
     load: ports.EngineLoad
 
     def loads_empty_engine(self) -> bool:
-        """Tell whether the engine can't serve anything until it is done."""
+        """Tell whether this is a load into an engine that holds no model."""
         return self.order == wanted_states.LOAD and not self.load.model
 
 
@@ -154,7 +154,7 @@
         return current is not None and current[:2] == pending[:2]
 
     def _update_admission(self) -> None:
-        """Refuse calls up front that the engine would refuse or interrupt."""
+        """Suspend admission while the engine would refuse or cut off calls."""
         load = self._state.control.load
         wanted = self._state.service.read_wanted()
         if wanted.unloaded:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
@@ -128,7 +128,7 @@
             self._notify()
 
     def subscribe(self, listener: abc.Callable[[], None]) -> None:
-        """Call ``listener`` after each change; the reader keeps it alive."""
+        """Call ``listener`` after each change, and cancel abandonment."""
         self._listeners.append(listener)
         self.abandon_at = deadlines.NO_DEADLINE
 
