--- a/bench/capacity/platform_path.py
+++ b/bench/capacity/platform_path.py
@@ -31,7 +31,7 @@
 """The smallest and the largest deployments there today, and the target."""
 _ADDRESS: typing.Final = "10.12.100.100:18766"
 _REPORT: typing.Final = targets.EngineReport(
-    received_at=0.0,
+    sampled_at=0.0,
     running=19,
     waiting=3,
     used_tokens=28_480,
@@ -39,10 +39,10 @@
     is_leaving=False,
     leaves_at=None,
     is_silent=False,
-    unread_tokens=13_008,
-    born_ms=1_750_000_000_000,
+    pending_prefill_tokens=13_008,
+    started_ms=1_750_000_000_000,
     agent_run=1_750_000_000,
-    number=10_000,
+    sequence_number=10_000,
 )
 """A report with as many digits as there are under load."""
 
@@ -60,23 +60,25 @@
 
 def _count_links(fleet: _Fleet) -> int:
     """Return the connections of an entry to others, on average."""
-    if fleet.entries <= members.MOST_DIRECT + 1:
+    if fleet.entries <= members.MAX_FULL_MESH_PEERS + 1:
         return fleet.entries - 1
-    return 2 * members.count_opened()
+    return 2 * members.count_outbound_links()
 
 
 def _measure_beats_s(fleet: _Fleet) -> float:
     """Return the most bytes of beats that an entry sends a second."""
-    beat_s = members.measure_beat_s(fleet.entries)
+    beat_s = members.compute_beat_interval_s(fleet.entries)
     beats = fleet.entries * _count_links(fleet) / beat_s
     return beats * _count_beat_bytes()
 
 
 def _measure_reports_s(fleet: _Fleet) -> float:
     """Return the most bytes of reports that an entry sends a second."""
-    if fleet.entries <= members.MOST_DIRECT:
+    if fleet.entries <= members.MAX_FULL_MESH_PEERS:
         return 0.0
-    rows = fleet.engines * _count_links(fleet) / entry_peers.SEND_S
+    rows = (
+        fleet.engines * _count_links(fleet) / entry_peers.MAX_SEND_INTERVAL_S
+    )
     return rows * _count_row_bytes()
 
 
--- a/packages/gentianpoint-agent/features/call_stage.py
+++ b/packages/gentianpoint-agent/features/call_stage.py
@@ -58,7 +58,7 @@
         self.scopes.append(scope)
         with scope:
             try:
-                async with self.control.enter(profile) as slot:
+                async with self.control.admit(profile) as slot:
                     call = RunningCall(
                         profile.customer, number, slot, trio.Event()
                     )
@@ -70,12 +70,12 @@
 
     def hold(self, profile: admission_policy.CallProfile) -> None:
         """Run a stream that an earlier run of the agent started."""
-        self.stage.start_task(self._hold_running, profile)
+        self.stage.start_task(self._run_adopted, profile)
 
-    async def _hold_running(
+    async def _run_adopted(
         self, profile: admission_policy.CallProfile
     ) -> None:
-        with self.control.hold_running(profile) as slot:
+        with self.control.admit_running(profile) as slot:
             call = RunningCall(profile.customer, 0, slot, trio.Event())
             self.running.append(call)
             await call.may_end.wait()
--- a/packages/gentianpoint-agent/features/runner_builders.py
+++ b/packages/gentianpoint-agent/features/runner_builders.py
@@ -44,7 +44,7 @@
         self.admitted = trio.Event()
 
     @contextlib.asynccontextmanager
-    async def enter(
+    async def admit(
         self, profile: admission_policy.CallProfile
     ) -> abc.AsyncIterator[None]:
         """Wait for admission."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -15,10 +15,10 @@
 import trio
 
 from gentianpoint_agent import agent_state
+from gentianpoint_agent import desired_states
 from gentianpoint_agent import order_leases
 from gentianpoint_agent import order_stream
 from gentianpoint_agent import order_turns
-from gentianpoint_agent import wanted_states
 from gentianpoint_agent import weight_reads
 from gentianpoint_core import deadlines
 from gentianpoint_core import logs
@@ -40,9 +40,9 @@
 _REPLICAS_PER_TURN: typing.Final = 4
 """Replicas of a service for each one that may carry out an order at a time."""
 _SUSPENSION_REASONS: typing.Final[abc.Mapping[str, str]] = {
-    wanted_states.LOAD: "the target is loading another version",
-    wanted_states.ROLE: "the target is changing its role",
-    wanted_states.UNLOAD: "the service is declared unloaded",
+    desired_states.LOAD: "the target is loading another version",
+    desired_states.ROLE: "the target is changing its role",
+    desired_states.UNLOAD: "the service is declared unloaded",
 }
 """Reason with which calls are refused during each kind of order."""
 _NOTHING_LOADED: typing.Final = "the target has nothing loaded yet"
@@ -53,12 +53,12 @@
     """An order that is needed, and the states it was derived from."""
 
     order: str
-    wanted: wanted_states.WantedState
+    desired: desired_states.DesiredState
     load: ports.EngineLoad
 
     def loads_empty_engine(self) -> bool:
         """Tell whether this is a load into an engine that holds no model."""
-        return self.order == wanted_states.LOAD and not self.load.model
+        return self.order == desired_states.LOAD and not self.load.model
 
 
 class EngineReconciler:
@@ -143,9 +143,9 @@
         # that it loads. Waiting for it would keep a turn that others need.
         if load is None or load.loading or self._state.is_report_stale():
             return None
-        wanted = self._state.service.read_wanted()
-        order = wanted_states.choose_order(wanted, load)
-        return _PendingOrder(order, wanted, load) if order else None
+        desired = self._state.service.get_desired_state()
+        order = desired_states.choose_order(desired, load)
+        return _PendingOrder(order, desired, load) if order else None
 
     def _is_still_wanted(self, pending: _PendingOrder) -> bool:
         current = (
@@ -156,27 +156,27 @@
     def _update_admission(self) -> None:
         """Suspend admission while the engine would refuse or cut off calls."""
         load = self._state.control.load
-        wanted = self._state.service.read_wanted()
-        if wanted.unloaded:
+        desired = self._state.service.get_desired_state()
+        if desired.unloaded:
             self._state.suspend_admission(
-                _SUSPENSION_REASONS[wanted_states.UNLOAD]
+                _SUSPENSION_REASONS[desired_states.UNLOAD]
             )
         elif load is not None and load.loading:
             # An order of an earlier run of this agent is still being carried
             # out; its effect would interrupt calls accepted now.
             self._state.suspend_admission(
-                _SUSPENSION_REASONS[wanted_states.LOAD]
+                _SUSPENSION_REASONS[desired_states.LOAD]
             )
-        elif wanted.model and load is not None and not load.model:
+        elif desired.model and load is not None and not load.model:
             self._state.suspend_admission(_NOTHING_LOADED)
         else:
             self._state.resume_admission()
 
     async def _carry_out(self, pending: _PendingOrder) -> None:
         size = 0
-        if pending.order == wanted_states.LOAD:
+        if pending.order == desired_states.LOAD:
             size = await self._reads.compute_load_size(
-                pending.wanted, pending.load
+                pending.desired, pending.load
             )
         if pending.loads_empty_engine():
             await self._load_empty_engine(pending, size)
@@ -185,7 +185,7 @@
             return
         is_wanted = functools.partial(self._is_still_wanted, pending)
         if (
-            pending.order != wanted_states.UNLOAD
+            pending.order != desired_states.UNLOAD
             and not await self._turns.acquire(
                 1, self._compute_turn_limit, is_wanted
             )
@@ -300,14 +300,14 @@
         await self._send(pending)
 
     async def _send(self, pending: _PendingOrder) -> None:
-        wanted = pending.wanted
+        desired = pending.desired
         order = ports.EngineOrder(
             self._lease.fence,
             pending.order,
-            wanted.model,
-            wanted.adapter,
-            wanted.version,
-            wanted.role,
+            desired.model,
+            desired.adapter,
+            desired.version,
+            desired.role,
         )
         try:
             await self._engine.send_order(order)
@@ -336,12 +336,12 @@
             if load is None or load.loading:
                 effect_by = deadlines.make_deadline(_EFFECT_TIMEOUT_MS)
             elif (
-                wanted_states.choose_order(pending.wanted, load)
+                desired_states.choose_order(pending.desired, load)
                 != pending.order
             ):
                 logs.log_event(
                     events.ORDER_FULFILLED,
                     order=pending.order,
-                    **pending.wanted._asdict(),
+                    **pending.desired._asdict(),
                 )
                 return
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
@@ -6,9 +6,9 @@
 
 from gentianpoint_agent import admission
 from gentianpoint_agent import admission_policy
+from gentianpoint_agent import applied_service
 from gentianpoint_agent import call_runner
 from gentianpoint_agent import generations
-from gentianpoint_agent import service_in_force
 from gentianpoint_core import deadlines
 from gentianpoint_core import errors
 from gentianpoint_core import logs
@@ -55,7 +55,7 @@
         self.is_replaying = False
         """True while tokens arrive that the engine generated earlier."""
 
-    def note_token(self) -> None:
+    def record_token(self) -> None:
         """Record the gap since the last token.
 
         Tokens generated earlier arrive as fast as the link carries them.
@@ -88,7 +88,7 @@
         self,
         control: admission.AdmissionControl,
         engine: ports.Engine,
-        service: service_in_force.ServiceInForce,
+        service: applied_service.AppliedService,
         instruments: telemetry.GenerationInstruments,
     ) -> None:
         """Run on ``engine`` what ``service`` declares."""
@@ -124,7 +124,7 @@
         """
         timer = _TokenTimer(self._service.name, self._instruments)
         timer.is_replaying = True
-        with self._control.hold_running(_make_profile(generation)) as slot:
+        with self._control.admit_running(_make_profile(generation)) as slot:
             try:
                 end = None
                 while end is None:
@@ -242,7 +242,7 @@
             if event.preempted:
                 self._record_preemption(generation, slot)
             elif event.number == generation.count_items() + 1:
-                timer.note_token()
+                timer.record_token()
                 slot.note_token(is_timed=not timer.is_replaying)
                 generation.add_text(event.text)
             elif event.number > generation.count_items():
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
@@ -417,7 +417,7 @@
 
     async def _configure(self, message: messages.Configure) -> None:
         try:
-            self._state.service.take(message)
+            self._state.service.apply(message)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             raise self._make_message_error(str(error)) from error
         await self._connection.send(
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/weight_reads.py
@@ -9,8 +9,8 @@
 import random
 import typing
 
+from gentianpoint_agent import desired_states
 from gentianpoint_agent import order_turns
-from gentianpoint_agent import wanted_states
 from gentianpoint_core import logs
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
@@ -45,16 +45,18 @@
         return self._rate * _LIMIT_WINDOW_S
 
     async def compute_load_size(
-        self, wanted: wanted_states.WantedState, load: ports.EngineLoad
+        self, desired: desired_states.DesiredState, load: ports.EngineLoad
     ) -> int:
-        """Return the bytes that loading ``wanted`` reads, given ``load``."""
+        """Return the bytes that loading ``desired`` reads, given ``load``."""
         if self._store is None:
             return 0
         size = 0
-        if (load.model, load.version) != (wanted.model, wanted.version):
-            size += await self._store.read_size(wanted.model, wanted.version)
-        if wanted.adapter:
-            size += await self._store.read_size(wanted.adapter, wanted.version)
+        if (load.model, load.version) != (desired.model, desired.version):
+            size += await self._store.read_size(desired.model, desired.version)
+        if desired.adapter:
+            size += await self._store.read_size(
+                desired.adapter, desired.version
+            )
         return size
 
     async def wait_for_room(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/generation_moves.py
@@ -19,10 +19,10 @@
 from gentianpoint_core import ports
 from gentianpoint_core.generated import events
 from gentianpoint_entry.forwarding import agent_turns
-from gentianpoint_entry.forwarding import choice
 from gentianpoint_entry.forwarding import requests
 from gentianpoint_entry.forwarding import routes
 from gentianpoint_entry.forwarding import target_calls
+from gentianpoint_entry.forwarding import target_selection
 from gentianpoint_entry.forwarding import targets
 
 __all__ = ("GenerationMove", "StoppedGeneration")
@@ -72,7 +72,7 @@
         source: targets.Target,
         choose_destination: abc.Callable[[], typing.Optional[targets.Target]],
         request_id: str,
-        shape: routes.EngineShape,
+        shape: routes.EngineSpec,
         count_memory: abc.Callable[[], int],
     ) -> None:
         """Move from ``source`` to what is chosen once it is the turn.
@@ -103,7 +103,7 @@
         turns = await self._find_turns()
         if turns is not None:
             self._turns = turns
-            await turns.wait_turn(
+            await turns.wait_for_turn(
                 self._request_id, self._count_memory(), self._is_agent_heard
             )
         # Chosen only now, since what had room when the move was wanted may
@@ -140,11 +140,11 @@
     ) -> None:
         began = trio.current_time()
         try:
-            copy = await self._calls.move_memory(
+            copy = await self._calls.copy_memory(
                 self._source,
                 destination,
                 self._request_id,
-                stops=False,
+                stops_first=False,
                 deadline=limit,
             )
         except ports.PortError as error:
@@ -167,14 +167,14 @@
         need_ms = self._shape.estimate_copy_ms(self._count_memory())
         here = self._source.entry.data_centre
         if destination.entry.data_centre != here:
-            need_ms *= choice.FAR_FACTOR
+            need_ms *= target_selection.FAR_FACTOR
         return need_ms
 
     def _is_agent_heard(self) -> bool:
         report = self._source.report
         if report is None:
             return False
-        return trio.current_time() - report.received_at < _AGENT_QUIET_S
+        return trio.current_time() - report.sampled_at < _AGENT_QUIET_S
 
     def end(self) -> None:
         """Give the turn back, whatever became of the move."""
@@ -193,11 +193,11 @@
         if self._source.leaves_at is not None:
             limit = limit.earlier(self._source.leaves_at)
         try:
-            copy = await self._calls.move_memory(
+            copy = await self._calls.copy_memory(
                 self._source,
                 self.destination,
                 self._request_id,
-                stops=True,
+                stops_first=True,
                 deadline=limit,
             )
         except ports.PortError as error:
