--- a/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/generations.py
@@ -79,6 +79,7 @@
         self.is_plain: typing.Final = is_plain
         self.repeatable: typing.Final = repeatable
         self.prepared = False
+        """True when it was started from a prepared identifier."""
         self.adopted = False
         """True when an earlier run of the agent started it."""
         self.confirmed = True
@@ -86,11 +87,15 @@
         self.shared = False
         """True when another run of the agent may be reading it as well."""
         self.attempt = ""
+        """Attempt whose offer created it; empty for any other origin."""
         self.started = False
         self.end: typing.Optional[GenerationEnd] = None
         self.retain_until = deadlines.NO_DEADLINE
+        """Time until which the agent keeps it after its end."""
         self.abandon_at = deadlines.NO_DEADLINE
+        """Time at which it is abandoned unless a reader subscribes."""
         self.size_bytes = 0
+        """Size of all items; texts count by their characters."""
         self._texts: typing.Final[list[str]] = []
         self._chunks: typing.Final[list[bytes]] = []
         self._listeners: typing.Final[list[abc.Callable[[], None]]] = []
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/order_records.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/order_records.py
@@ -33,7 +33,7 @@
 
 
 def name_service_turns(service: str) -> str:
-    """Return the name of the turns in which one service's targets stop."""
+    """Return the name of the turns to stop serving, for one service."""
     return f"service:{service}"
 
 
