--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -125,17 +125,18 @@
             "entry", "heartbeat-ms"
         )
         self.idle_beat_s: typing.Final = (
-            self.beat_s * peer_connections.count_idle_beat_ticks(allowed_ticks)
+            self.beat_s
+            * peer_connections.count_idle_heartbeat_ticks(allowed_ticks)
         )
         self.entry: typing.Final = self._work_out_entry()
         self.agent: typing.Final = self._work_out_agent()
 
     def count_links(self, processes: int) -> int:
         """Return a process's links for a service, of so many on its host."""
-        return link_pool.count_links(
+        return link_pool.compute_link_count(
             AGENTS // SERVICES,
             ENTRIES * processes,
-            link_pool.share_links(
+            link_pool.compute_min_links(
                 _read_default("entry", "links-per-service"), processes
             ),
         )
@@ -178,7 +179,7 @@
 
     def hosts_pause_s(self, processes: int = 1) -> float:
         """Return the time between a process's readings of the host list."""
-        pause_ms = host_watch.compute_pause_ms(
+        pause_ms = host_watch.compute_poll_interval_ms(
             1000, round(self.hosts_bytes()), processes
         )
         return pause_ms / 1000
