--- a/packages/gentianpoint-entry/features/check.feature
+++ b/packages/gentianpoint-entry/features/check.feature
@@ -1,74 +1,74 @@
-Feature: A deploy folder is checked before a start
-  What is wrong with it shows else only once hosts have been taken.
+Feature: A deploy folder is checked before a deployment starts
+  Without the check, its problems are found only once hosts are reserved.
 
-  Scenario: the project's own folder
+  Scenario: the deploy folder of the project has no problems
     Given the project's deploy folder
-    When it is checked
-    Then nothing is wrong
+    When the folder is checked
+    Then no problems are found
 
-  Scenario Outline: one thing that is wrong
+  Scenario Outline: one problem in a deploy folder
     Given a deploy folder whose <field> is <value>
-    When it is checked
-    Then one line says "<problem>"
+    When the folder is checked
+    Then the only line printed contains "<problem>"
 
     Examples:
       | field         | value                 | problem                                 |
-      | build         | ""                    | build is no command                     |
-      | entry         | 3                     | role entry is no table                  |
-      | entry.run     | "python3 gone.py"     | role entry: its program gone.py is missing |
-      | entry.run     | ""                    | role entry: run is no command           |
-      | entry.on      | "middle"              | role entry: on is none of front, side   |
-      | entry.share   | 1.5                   | role entry: share is not above 0 and at most 1 |
-      | entry.share   | nan                   | role entry: share is not above 0 and at most 1 |
-      | agent.count   | 0.5                   | role agent: count is no whole number above 0 |
-      | entry.count   | 2                     | role entry: both share and count are given |
+      | build         | ""                    | build must be a command                     |
+      | entry         | 3                     | role entry must be a table                  |
+      | entry.run     | "python3 gone.py"     | role entry: its program gone.py does not exist |
+      | entry.run     | ""                    | role entry: run must be a command           |
+      | entry.on      | "middle"              | role entry: on must be one of front, side   |
+      | entry.share   | 1.5                   | role entry: share must be above 0 and at most 1 |
+      | entry.share   | nan                   | role entry: share must be above 0 and at most 1 |
+      | agent.count   | 0.5                   | role agent: count must be a whole number above 0 |
+      | entry.count   | 2                     | role entry: share and count can not both be given |
       | entry.serves  | ["front", "callers"]  | role entry: serves 'callers'            |
       | entry.serves  | ["control"]           | no role serves front                    |
       | agent.on      | "front"               | 2 roles on front serve control          |
-      | entry.metrics | "99999/metrics"       | role entry: metrics is no PORT/PATH     |
-      | entry.template | "gone.txt"           | role entry: its template gone.txt is missing |
+      | entry.metrics | "99999/metrics"       | role entry: metrics must be PORT/PATH     |
+      | entry.template | "gone.txt"           | role entry: its template gone.txt does not exist |
       | entry.env     | { lower = "a" }       | role entry: env has 'lower'             |
 
-  Scenario: several things are wrong
-    They are told at once, or each start would bring up the next one.
+  Scenario: several problems are reported at once
+    If only the first were reported, each start would fail with the next one.
     Given a deploy folder whose entry.on is "middle"
     And its agent.run is "python3 gone.py"
-    When it is checked
-    Then 2 lines tell what is wrong
+    When the folder is checked
+    Then 2 problems are reported
 
-  Scenario Outline: days that can't be played
+  Scenario Outline: invalid day files
     Given a deploy folder with the day <text>
-    When it is checked
-    Then one line says "<problem>"
+    When the folder is checked
+    Then the only line printed contains "<problem>"
 
     Examples:
       | text                                         | problem                        |
       | name = "a                                    | day.toml                       |
       | faults = [{ kind = "burst", at = 1.0 }]      | the day has no name            |
       | name = "a"                                   | the day has no plan and no faults |
-      | name = "a"; plan = [{ at = 1.0 }]            | trouble 1 has no kind          |
-      | name = "a"; plan = [{ kind = "burst" }]      | trouble 1 has no time          |
+      | name = "a"; plan = [{ at = 1.0 }]            | event 1 has no kind          |
+      | name = "a"; plan = [{ kind = "burst" }]      | event 1 has no valid time          |
 
-  Scenario: there is no such folder
-    Given a folder that is missing
-    When it is checked
-    Then one line says "system.toml"
+  Scenario: the folder does not exist
+    Given a folder that does not exist
+    When the folder is checked
+    Then the only line printed contains "system.toml"
 
-  Scenario Outline: settings of a process
+  Scenario Outline: invalid settings of a process
     Given the project's deploy folder
     And settings <change>
-    When it is checked
-    Then one line says "<problem>"
+    When the folder is checked
+    Then the only line printed contains "<problem>"
 
     Examples:
       | change                            | problem                      |
       | without bounds                    | 'bounds' is missing          |
-      | whose ip is no address            | is no IP number with port    |
+      | whose ip is not an address        | is no IP number with port    |
       | without an address for callers    | front is missing             |
-      | that are no TOML                  | settings.toml                |
+      | that are not TOML                 | settings.toml                |
 
-  Scenario: settings that are right
+  Scenario: valid settings of a process
     Given the project's deploy folder
-    And settings that are right
-    When it is checked
-    Then nothing is wrong
+    And settings that are valid
+    When the folder is checked
+    Then no problems are found
--- a/packages/gentianpoint-entry/features/deploy_builders.py
+++ b/packages/gentianpoint-entry/features/deploy_builders.py
@@ -1,4 +1,4 @@
-"""Deploy folders and settings files for features that check them."""
+"""Builders of deploy folders and settings files for the check command."""
 
 import pathlib
 import typing
@@ -46,25 +46,25 @@
 def write_folder(
     root: pathlib.Path, changes: typing.Mapping[str, str]
 ) -> pathlib.Path:
-    """Write a deploy folder and its programs; return the folder.
+    """Write a valid deploy folder and its programs, and return the folder.
 
-    ``changes`` holds values in TOML by fields such as ``entry.on``.
+    ``changes`` replaces fields such as ``entry.on`` by values in TOML.
     """
     programs = root / "programs"
     programs.mkdir()
     for name in ("entry.py", "agent.py"):
         (programs / name).touch()
     tables = {name: dict(table) for name, table in _SYSTEM.items()}
-    whole = []
+    replaced = []
     for field, value in changes.items():
         role, _, name = field.rpartition(".")
         if name in tables:
             del tables[name]
-            whole.append(f"roles.{name} = {value}")
+            replaced.append(f"roles.{name} = {value}")
         else:
             tables[role][name] = value
     lines = [f"{name} = {value}" for name, value in tables.pop("").items()]
-    lines += whole
+    lines += replaced
     for role, table in tables.items():
         lines.append(f"[roles.{role}]")
         lines += [f"{name} = {value}" for name, value in table.items()]
--- a/packages/gentianpoint-entry/features/explain.feature
+++ b/packages/gentianpoint-entry/features/explain.feature
@@ -1,38 +1,38 @@
-Feature: A request's way is read from log lines
+Feature: The timeline of a request is assembled from log lines
 
-  Scenario: lines of many processes in any order
-    A technician complains of a report that broke off. The engineer on call
-    has the lines of all processes mixed, with other output between them, and
-    must see in order what happened to this request and its targets.
+  Scenario: log lines of several processes in any order
+    The on-call engineer has the log lines of all processes, mixed with other
+    output. To explain a stream that broke off, the timeline must list in
+    order what happened to the request and to its targets.
     Given log lines of two processes, mixed with other output
-    When the way of request r-1 is asked for
-    Then it shows that r-1 was sent, that its target got notice, and its end
-    And it shows nothing of another request or a later notice
+    When the timeline of request r-1 is requested
+    Then it shows that r-1 was sent, that its target was leaving, and its end
+    And it shows no other request and no later event of the target
 
-  Scenario: no line tells of the request
+  Scenario: no log line mentions the request
     Given log lines of two processes, mixed with other output
-    When the way of request r-9 is asked for
-    Then nothing is shown
+    When the timeline of request r-9 is requested
+    Then the timeline is empty
 
-  Scenario: a request that was cut as its entry ended
-    A report breaks off at an ordinary pace. Only the lines of the entry
-    itself, which name no request, tell that it was told to stop meanwhile.
-    Given log lines of a request that was cut as its entry ended
-    When the way of request r-1 is asked for
+  Scenario: a request that its entry broke off as it stopped
+    Nothing in the request's own lines explains why it broke off. That the
+    entry had been told to stop is only in lines that name no request.
+    Given log lines of a request whose entry stopped before its end
+    When the timeline of request r-1 is requested
     Then it shows request_sent, leaving_started, shutdown_overdue, request_ended, in this order
-    And it says at the end that entry-1 left it "entry stopped"
+    And its last line gives the cause at entry-1 as "entry stopped"
 
   Scenario: a request whose entry was killed
-    The entry had no time for a line of the request's end, so the next thing
-    that is known of it is that it started anew.
+    A killed entry does not log the end of its requests. The first sign of it
+    is that the entry starts again.
     Given log lines of a request whose entry was killed
-    When the way of request r-1 is asked for
+    When the timeline of request r-1 is requested
     Then it shows request_sent, entry_started, in this order
-    And it says at the end that entry-1 left it "under way as its entry ended"
+    And its last line gives the cause at entry-1 as "unfinished when its entry ended"
 
-  Scenario: lines of other programs among them
-    A collector mixes in JSON of other programs. An error at one of their
-    lines would leave the engineer without any.
-    Given log lines whose fields are of foreign types
-    When the way of request r-1 is asked for
+  Scenario: JSON lines of other programs
+    A log collector also passes on JSON lines of other programs, with fields
+    of unexpected types. They must not make the command fail.
+    Given log lines whose fields have unexpected types
+    When the timeline of request r-1 is requested
     Then it shows request_sent, in this order
--- a/packages/gentianpoint-entry/features/load.feature
+++ b/packages/gentianpoint-entry/features/load.feature
@@ -1,7 +1,7 @@
-Feature: The load tool measures what callers see
-  The tool decides between policies, so it must send the same load for the
-  same seed, whatever the system does, and count pauses and shares as callers
-  feel them.
+Feature: The load generator measures what callers observe
+  Policies are compared by its results. So it must send the same load for the
+  same seed, whatever the system does, and measure stalls and customers'
+  shares from the callers' side.
 
   Scenario: the same seed gives the same requests
     Given a scenario of 20 requests a second for 10 seconds
@@ -14,8 +14,8 @@
     When its arrivals are drawn with the seeds 1, 1 and 2
     Then most requests come in the burst
 
-  Scenario Outline: stall time is what exceeds the stream's own pace
-    When a stream has the gaps <gaps>
+  Scenario Outline: stall time is measured against the stream's own pace
+    When the gaps between the tokens of a stream are <gaps>
     Then its stall time is <stall> ms
 
     Examples:
@@ -25,13 +25,13 @@
       | 20 30 35 20 20  | 0     |
       | 20              | 0     |
 
-  Scenario: a starved customer shows
+  Scenario: the results show a starved customer
     When 10 requests of large are answered and 10 of small are refused
     Then the least customer's share is 0
 
-  Scenario Outline: a wrong scenario file names the field
-    When a scenario file says <text>
-    Then it is refused with <reason>
+  Scenario Outline: the error for an invalid scenario file names the field
+    When a scenario file with the content <text> is loaded
+    Then the error message contains <reason>
 
     Examples:
       | text                              | reason  |
--- a/packages/gentianpoint-entry/features/load_builders.py
+++ b/packages/gentianpoint-entry/features/load_builders.py
@@ -1,4 +1,4 @@
-"""Builders of scenarios and outcomes for the load tool's features."""
+"""Builders of scenarios and outcomes for the load generator's features."""
 
 from collections import abc
 
@@ -30,7 +30,7 @@
     outcome: str = results.OK,
     gaps_ms: abc.Sequence[float] = (),
 ) -> results.RequestOutcome:
-    """Return an outcome with the given gaps."""
+    """Return a request's outcome with the given gaps between tokens."""
     tokens = len(gaps_ms) + 1
     total_ms = sum(gaps_ms)
     return results.RequestOutcome(
--- a/packages/gentianpoint-entry/features/steps/check_steps.py
+++ b/packages/gentianpoint-entry/features/steps/check_steps.py
@@ -1,4 +1,4 @@
-"""Steps for checks of deploy folders and settings."""
+"""Steps for the command that checks deploy folders and settings."""
 
 import pathlib
 import tempfile
@@ -11,63 +11,63 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[4]
 SETTINGS = {
-    "that are right": lambda text: text,
+    "that are valid": lambda text: text,
     "without bounds": lambda text: text.partition("[bounds]")[0],
-    "whose ip is no address": lambda text: text.replace(
+    "whose ip is not an address": lambda text: text.replace(
         'ip = "10.1.0.19"', 'ip = "north"'
     ),
     "without an address for callers": lambda text: text.replace(
         'front = "10.1.0.19:8740"', ""
     ),
-    "that are no TOML": lambda text: text + "[",
+    "that are not TOML": lambda text: text + "[",
 }
 
 
-def make_root(context):
+def make_temporary_folder(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     return pathlib.Path(folder.name)
 
 
 @behave.given("the project's deploy folder")
-def take_own(context):
+def use_project_folder(context):
     context.arguments = [str(ROOT / "deploy")]
 
 
-@behave.given("a folder that is missing")
-def take_missing(context):
-    context.arguments = [str(make_root(context) / "deploy")]
+@behave.given("a folder that does not exist")
+def use_missing_folder(context):
+    context.arguments = [str(make_temporary_folder(context) / "deploy")]
 
 
 @behave.given("a deploy folder whose {field} is {value}")
-def make_folder(context, field, value):
+def set_field(context, field, value):
     context.changes = {field: value}
 
 
 @behave.given("its {field} is {value}")
-def change_folder(context, field, value):
+def set_another_field(context, field, value):
     context.changes[field] = value
 
 
 @behave.given("a deploy folder with the day {text}")
-def make_day(context, text):
-    folder = deploy_builders.write_folder(make_root(context), {})
+def write_day(context, text):
+    folder = deploy_builders.write_folder(make_temporary_folder(context), {})
     (folder / "days" / "day.toml").write_text(text.replace("; ", "\n"))
     context.arguments = [str(folder)]
 
 
 @behave.given("settings {change}")
-def make_settings(context, change):
-    path = make_root(context) / "settings.toml"
+def write_settings(context, change):
+    path = make_temporary_folder(context) / "settings.toml"
     path.write_text(SETTINGS[change](deploy_builders.SETTINGS))
     context.arguments += ["--settings", str(path)]
 
 
-@behave.when("it is checked")
+@behave.when("the folder is checked")
 def check(context):
     if "changes" in context:
         folder = deploy_builders.write_folder(
-            make_root(context), context.changes
+            make_temporary_folder(context), context.changes
         )
         context.arguments = [str(folder)]
     context.result = testing.CliRunner().invoke(
@@ -75,20 +75,20 @@
     )
 
 
-@behave.then("nothing is wrong")
-def check_right(context):
+@behave.then("no problems are found")
+def check_no_problems(context):
     assert context.result.exit_code == 0, context.result.output
-    assert context.result.output == "nothing is wrong\n"
+    assert context.result.output == "no problems found\n"
 
 
-@behave.then('one line says "{problem}"')
-def check_problem(context, problem):
+@behave.then('the only line printed contains "{problem}"')
+def check_message(context, problem):
     assert context.result.exit_code == 1, context.result.output
     (line,) = context.result.output.splitlines()
     assert problem in line, line
 
 
-@behave.then("{count:d} lines tell what is wrong")
-def check_problems(context, count):
+@behave.then("{count:d} problems are reported")
+def check_count(context, count):
     assert context.result.exit_code == 1
     assert len(context.result.output.splitlines()) == count
--- a/packages/gentianpoint-entry/features/steps/load_steps.py
+++ b/packages/gentianpoint-entry/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the load tool."""
+"""Steps for the load generator."""
 
 import pathlib
 import tempfile
@@ -34,7 +34,7 @@
 
 
 @behave.then("the first two are the same and the third differs")
-def check_drawn(context):
+def check_seeds(context):
     first, second, third = context.drawn
     assert first == second
     assert first != third
@@ -55,7 +55,7 @@
     assert len(inside) > len(context.drawn[0]) / 2
 
 
-@behave.when("a stream has the gaps {gaps}")
+@behave.when("the gaps between the tokens of a stream are {gaps}")
 def add_stream(context, gaps):
     context.results = results.LoadResults()
     values = [float(gap) for gap in gaps.split()]
@@ -82,8 +82,8 @@
     assert summary["answered_share"] == 0.5, summary
 
 
-@behave.when("a scenario file says {text}")
-def read_file(context, text):
+@behave.when("a scenario file with the content {text} is loaded")
+def load_file(context, text):
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "scenario.yaml"
         path.write_text(text)
@@ -93,6 +93,6 @@
             context.error = str(error)
 
 
-@behave.then("it is refused with {reason}")
-def check_refused(context, reason):
+@behave.then("the error message contains {reason}")
+def check_error(context, reason):
     assert reason in context.error, context.error
--- a/packages/gentianpoint-entry/features/steps/summary_steps.py
+++ b/packages/gentianpoint-entry/features/steps/summary_steps.py
@@ -1,153 +1,159 @@
-"""Steps for the table of what became of requests."""
+"""Steps for the summary of how requests ended."""
 
 import behave
-import explain_lines
+import log_line_builders
 
-from gentianpoint_entry import loss_summary
 from gentianpoint_entry import lost_worth
+from gentianpoint_entry import outcome_summary
 
 ROUTE = "reports"
 _SENT = ("request_sent", {"target": "t-1"})
-_NOTICE = ("target_leaving", {"target": "t-1", "request": None})
+_TARGET_LEAVING = ("target_leaving", {"target": "t-1", "request": None})
 _MOVED = ("generation_moved", {"target": "t-2"})
 _FAILED = ("attempt_failed", {"target": "t-1"})
-_SPENT = ("retry_budget_spent", {})
-_DECIDED_FOR = ("leaving_decision", {"is_taken": True, "left_ms": 900})
-_DECIDED_AGAINST = ("leaving_decision", {"is_taken": False, "left_ms": 9})
+_BUDGET_SPENT = ("retry_budget_spent", {})
+_ACCEPTED_LEAVING = ("leaving_decision", {"is_taken": True, "left_ms": 900})
+_REFUSED_LEAVING = ("leaving_decision", {"is_taken": False, "left_ms": 9})
 
 
 def end(outcome, **fields):
     return ("request_ended", {"outcome": outcome, "status": 200, **fields})
 
 
-_STORIES = {
-    "was answered": [_SENT, end("answered", late="")],
+_BEHAVIOURS = {
+    "was answered in time": [_SENT, end("answered", late="")],
     "was sent and has no end": [_SENT],
-    "broke off after its target had notice": [
+    "broke off after its target was leaving": [
         _SENT,
-        _NOTICE,
+        _TARGET_LEAVING,
         end("broken_off"),
     ],
-    "broke off at a target that had none": [_SENT, end("broken_off")],
+    "broke off at a target that was not leaving": [_SENT, end("broken_off")],
     "was answered by its target with 500": [
         _SENT,
         end("answered", status=500),
     ],
-    "was refused with no retry left": [
+    "was refused with the retry budget spent": [
         _SENT,
         _FAILED,
-        _SPENT,
+        _BUDGET_SPENT,
         end("refused_503", status=503),
     ],
-    "was refused as no target took it": [end("refused_503", status=503)],
+    "was refused as no target accepted it": [end("refused_503", status=503)],
     "lost its answer": [_SENT, _FAILED, end("refused_502", status=502)],
-    "was late as it paused": [_SENT, end("answered", late="pause")],
-    "was late as it paused and had moved": [
+    "was late because of a pause": [_SENT, end("answered", late="pause")],
+    "was late because of a pause and had moved": [
         _SENT,
         _MOVED,
         end("answered", late="pause"),
     ],
-    "was late at its start": [_SENT, end("answered", late="start")],
-    "was late at its start after a failed attempt": [
+    "was late from its start": [_SENT, end("answered", late="start")],
+    "was late from its start after a failed attempt": [
         _SENT,
         _FAILED,
         end("answered", late="start"),
     ],
-    "outlasted the leaving of its entry": [_SENT, end("entry_stopped")],
-    "was taken by a leaving entry and outlasted it": [
-        _DECIDED_FOR,
+    "was unfinished when its entry stopped": [_SENT, end("entry_stopped")],
+    "was accepted by a leaving entry and unfinished": [
+        _ACCEPTED_LEAVING,
         _SENT,
         end("entry_stopped"),
     ],
-    "was taken by a leaving entry and answered": [
-        _DECIDED_FOR,
+    "was accepted by a leaving entry and answered": [
+        _ACCEPTED_LEAVING,
         _SENT,
         end("answered", late=""),
     ],
     "was refused by a leaving entry": [
-        _DECIDED_AGAINST,
+        _REFUSED_LEAVING,
         end("refused_leaving", status=503),
     ],
-    "had no answer at its deadline": [_SENT, end("refused_504", status=504)],
-    "lost its answer with no retry left": [
+    "had no answer by its deadline": [_SENT, end("refused_504", status=504)],
+    "lost its answer with the retry budget spent": [
         _SENT,
         _FAILED,
-        _SPENT,
+        _BUDGET_SPENT,
         end("refused_502", status=502),
     ],
-    "was left by its caller": [_SENT, end("caller_left")],
+    "was cancelled by its caller": [_SENT, end("caller_left")],
 }
 
 
-def make_lines(story, host):
+def make_lines(behaviour, host):
     lines = []
-    for second, (event, fields) in enumerate(_STORIES[story]):
+    for second, (event, fields) in enumerate(_BEHAVIOURS[behaviour]):
         fields = {"request": "r-1", "route": ROUTE, **fields}
         if fields["request"] is None:
             del fields["request"], fields["route"]
-        lines.append(explain_lines.make_line(second, host, event, **fields))
+        lines.append(
+            log_line_builders.make_line(second, host, event, **fields)
+        )
     return lines
 
 
-@behave.given("log lines of a request that {story}, at two entries")
-def make_two(context, story):
-    context.lines = make_lines(story, "entry-1") + make_lines(story, "entry-2")
+@behave.given("log lines of a request that {behaviour}, at two entries")
+def make_at_two_entries(context, behaviour):
+    context.lines = make_lines(behaviour, "entry-1") + make_lines(
+        behaviour, "entry-2"
+    )
 
 
-@behave.given("log lines of a request that {story}")
-def make_one(context, story):
-    context.lines = make_lines(story, "entry-1")
+@behave.given("log lines of a request that {behaviour}")
+def make_at_one_entry(context, behaviour):
+    context.lines = make_lines(behaviour, "entry-1")
 
 
-@behave.given("log lines of requests that came to leaving entries")
+@behave.given("log lines of requests that reached leaving entries")
 def make_leaving(context):
-    stories = (
-        "was taken by a leaving entry and outlasted it",
-        "was taken by a leaving entry and answered",
+    behaviours = (
+        "was accepted by a leaving entry and unfinished",
+        "was accepted by a leaving entry and answered",
         "was refused by a leaving entry",
-        "was answered",
+        "was answered in time",
     )
     context.lines = [
         line
-        for number, story in enumerate(stories)
-        for line in make_lines(story, f"entry-{number}")
+        for number, behaviour in enumerate(behaviours)
+        for line in make_lines(behaviour, f"entry-{number}")
     ]
 
 
 @behave.when("the requests at leaving entries are counted")
 def count_leaving(context):
-    context.counts = loss_summary.count_leaving(reversed(context.lines))
+    context.counts = outcome_summary.count_leaving(reversed(context.lines))
 
 
 @behave.then(
-    "{taken:d} were taken, of which {broken:d} broke off, and {refused:d} was"
-    " refused"
+    "{accepted:d} were accepted, of which {broken:d} broke off, and"
+    " {refused:d} was refused"
 )
-def check_leaving(context, taken, broken, refused):
-    assert context.counts == {ROUTE: (taken, broken, refused)}
-    _, row = loss_summary.make_leaving_table(context.counts)
-    assert row.split() == [ROUTE, str(taken), str(broken), str(refused)], row
+def check_leaving(context, accepted, broken, refused):
+    assert context.counts == {ROUTE: (accepted, broken, refused)}
+    _, row = outcome_summary.format_leaving_table(context.counts)
+    assert row.split() == [ROUTE, str(accepted), str(broken), str(refused)], (
+        row
+    )
 
 
-@behave.then("there is no table of them")
+@behave.then("no table of leaving entries is printed")
 def check_no_table(context):
-    assert loss_summary.make_leaving_table(context.counts) == []
+    assert outcome_summary.format_leaving_table(context.counts) == []
 
 
 @behave.when("the causes are counted")
-def count(context):
-    context.counts = loss_summary.count_causes(reversed(context.lines))
+def count_causes(context):
+    context.counts = outcome_summary.count_causes(reversed(context.lines))
 
 
 @behave.then('one request of the route counts as "{cause}"')
-def check_one(context, cause):
+def check_one_request(context, cause):
     assert context.counts == {ROUTE: {cause: 1}}, context.counts
-    (row,) = loss_summary.make_table(context.counts)
+    (row,) = outcome_summary.format_table(context.counts)
     assert row.split() == [ROUTE, *cause.split(), "1", "100.0%"], row
 
 
 @behave.then('two requests of the route count as "{cause}"')
-def check_two(context, cause):
+def check_two_requests(context, cause):
     assert context.counts == {ROUTE: {cause: 2}}, context.counts
 
 
@@ -156,12 +162,12 @@
     context.lines = []
     for row in context.table:
         events = (
-            ("request_sent", make_size(int(row["output tokens"]))),
-            end(**make_end(row["end"])),
+            ("request_sent", make_size_fields(int(row["output tokens"]))),
+            end(**make_end_fields(row["end"])),
         )
         for second, (event, fields) in enumerate(events):
             context.lines.append(
-                explain_lines.make_line(
+                log_line_builders.make_line(
                     second,
                     "entry-1",
                     event,
@@ -172,7 +178,7 @@
             )
 
 
-def make_size(output_tokens):
+def make_size_fields(output_tokens):
     return {
         "target": "t-1",
         "prompt_tokens": 100,
@@ -180,20 +186,22 @@
     }
 
 
-def make_end(text):
+def make_end_fields(text):
     if text == "late":
         return {"outcome": "answered", "late": "start"}
     return {"outcome": text, "late": ""}
 
 
-@behave.when('the losses are weighed with "{worths}"')
-def weigh(context, worths):
-    parsed = dict(lost_worth.parse_worth(text) for text in worths.split())
-    judged = loss_summary.list_judged(reversed(context.lines))
-    context.losses = lost_worth.weigh_losses(judged, parsed)
+@behave.when('the lost value is computed with "{values}"')
+def compute_lost_value(context, values):
+    parsed = dict(
+        lost_worth.parse_answer_value(text) for text in values.split()
+    )
+    classified = outcome_summary.classify_requests(reversed(context.lines))
+    context.losses = lost_worth.compute_lost_shares(classified, parsed)
 
 
-@behave.then("the shares of all worth that were lost are")
+@behave.then("the lost shares of the total value are")
 def check_losses(context):
     wanted = {
         (row["route"], row["cause"]): row["lost"] for row in context.table
@@ -204,7 +212,7 @@
         for cause, lost in causes.items()
     }
     assert found == wanted, found
-    counts = loss_summary.count_causes(reversed(context.lines))
-    table = loss_summary.make_table(counts, context.losses)
-    weighed = [row for row in table if row.count("%") == 2]
-    assert len(weighed) == len(wanted), table
+    counts = outcome_summary.count_causes(reversed(context.lines))
+    table = outcome_summary.format_table(counts, context.losses)
+    rows_with_loss = [row for row in table if row.count("%") == 2]
+    assert len(rows_with_loss) == len(wanted), table
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/check_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/check_command.py
@@ -1,4 +1,4 @@
-"""The command ``gentianpoint check``: what is wrong before a start."""
+"""The command ``gentianpoint check``: validates a deploy folder."""
 
 import pathlib
 import typing
@@ -23,7 +23,7 @@
             typer.Option(help="Settings file of a process; may be repeated."),
         ] = None,
     ) -> None:
-        """Tell what is wrong with a deploy folder or settings."""
+        """Report the problems of a deploy folder and settings files."""
         problems = list(deploy_check.check_folder(folder))
         for path in settings or ():
             problems += deploy_check.check_settings(folder, path)
@@ -31,4 +31,4 @@
             typer.echo(problem)
         if problems:
             raise typer.Exit(1)
-        typer.echo("nothing is wrong")
+        typer.echo("no problems found")
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/cli.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/cli.py
@@ -1,8 +1,8 @@
 """The command ``gentianpoint``.
 
-The tools of operators and the entry come from one binary, and each imports
-what it needs when it is called: an entry that held the operators' tools with
-their libraries would spend memory on them that a node has for control.
+The operators' commands and the entry share one executable. Each imports its
+modules only when it is called: otherwise an entry would hold the libraries of
+the operators' commands in the little memory that a host has for control.
 """
 
 import importlib
@@ -12,55 +12,57 @@
 
 __all__ = ("main",)
 
-_ENTRY: typing.Final = "gentianpoint_entry.entry_command"
-_TOOLS: typing.Final = "gentianpoint_entry.operator_app"
-_HELP_OF_TOOL: typing.Final = {
-    "apply": "Declare the resources in files, in their order.",
+_ENTRY_COMMAND: typing.Final = "gentianpoint_entry.entry_command"
+_OPERATOR_APP: typing.Final = "gentianpoint_entry.operator_app"
+_COMMAND_HELP: typing.Final = {
+    "apply": "Declare the resources in files, in the order of the files.",
     "get": "Show the resources of a kind, or one of them.",
-    "watch": "Print each change as a JSON line, and where it is in force.",
+    "watch": "Print each change, and where it is in force, as JSON.",
     "delete": "Delete a resource.",
-    "check": "Tell what is wrong with a deploy folder or settings.",
-    "explain": "Print a request's way from log lines.",
-    "summary": "Count requests by what kept them from being in time.",
-    "load": "Send a load of a scenario and report what callers see.",
+    "check": "Report the problems of a deploy folder and settings files.",
+    "explain": "Print the timeline of a request from log lines.",
+    "summary": "Count requests by why they were not answered in time.",
+    "load": "Send the load of a scenario and report what callers measure.",
 }
 
 
-class _Tool(click.Command):
-    """One of the operators' tools, which reads its own arguments."""
+class _OperatorCommand(click.Command):
+    """Passes its arguments on to an operators' command of the same name."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Leave all arguments to the tool."""
+        """Keep all arguments unparsed for the command itself."""
         ctx.args = args
         return []
 
     def invoke(self, ctx: click.Context) -> typing.Any:
-        """Run the tool."""
-        tools = importlib.import_module(_TOOLS)
+        """Run the command."""
+        tools = importlib.import_module(_OPERATOR_APP)
         return tools.app([self.name, *ctx.args], prog_name="gentianpoint")
 
 
 class _Commands(click.Group):
-    """The commands, found by name."""
+    """Loads each command when it is first looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
-        return ["entry", *_HELP_OF_TOOL]
+        return ["entry", *_COMMAND_HELP]
 
     def get_command(
         self, ctx: click.Context, cmd_name: str
     ) -> typing.Optional[click.Command]:
-        """Return a command, or None when there is none of the name."""
+        """Return a command, or None if none has the name."""
         if cmd_name == "entry":
-            command: click.Command = importlib.import_module(_ENTRY).command
+            command: click.Command = importlib.import_module(
+                _ENTRY_COMMAND
+            ).command
             return command
-        if cmd_name in _HELP_OF_TOOL:
-            return _Tool(cmd_name, help=_HELP_OF_TOOL[cmd_name])
+        if cmd_name in _COMMAND_HELP:
+            return _OperatorCommand(cmd_name, help=_COMMAND_HELP[cmd_name])
         return None
 
 
 def main() -> None:
-    """Run one of the commands."""
+    """Run the command that the arguments name."""
     _Commands(
         "gentianpoint",
         help="Serve generations of unknown length, and administer the "
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/deploy_check.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/deploy_check.py
@@ -1,8 +1,9 @@
-"""What is wrong with a deploy folder, or a settings file, before a start.
+"""Validates a deploy folder and settings files before a deployment starts.
 
-A role whose program is missing, or a day that can't be read, shows only when
-hosts have been taken and started. Here each file is read as far as it can be
-without them, and everything that is wrong is told at once.
+Without this check, a role whose program does not exist or a day file that
+can't be parsed is found only after hosts have been reserved and started. Each
+file is checked as far as that is possible without hosts, and all problems are
+reported at once.
 """
 
 from collections import abc
@@ -18,26 +19,27 @@
 _SYSTEM_FILE: typing.Final = "system.toml"
 _DAYS_FOLDER: typing.Final = "days"
 _SETTINGS_PROGRAM: typing.Final = "check_settings.py"
-"""Program beside a role's own that tells what is wrong with settings."""
-_CLASSES: typing.Final = ("front", "side")
-"""Classes of hosts."""
-_SERVED: typing.Final = ("front", "side", "control")
-"""Who may call a role from outside."""
-_MOST_ROLES: typing.Final = 2
-"""Roles that a host may run."""
-_MOST_TEMPLATE_BYTES: typing.Final = 65536
-_METRICS: typing.Final = re.compile(r"([0-9]{1,5})/.*")
-_VARIABLE: typing.Final = re.compile(r"[A-Z][A-Z0-9_]*")
-_WITHIN_S: typing.Final = 30.0
-"""Time for the program that reads settings."""
+"""Program in the folder of a role's own one that checks a settings file."""
+_HOST_CLASSES: typing.Final = ("front", "side")
+"""Host classes that a role can run on."""
+_CLIENT_KINDS: typing.Final = ("front", "side", "control")
+"""Kinds of clients that a role can serve."""
+_MAX_ROLES_PER_HOST: typing.Final = 2
+"""Most roles that one host can run."""
+_MAX_TEMPLATE_BYTES: typing.Final = 65536
+"""Size in bytes from which a role's template is rejected."""
+_METRICS_ADDRESS: typing.Final = re.compile(r"([0-9]{1,5})/.*")
+_ENVIRONMENT_NAME: typing.Final = re.compile(r"[A-Z][A-Z0-9_]*")
+_SETTINGS_TIMEOUT_S: typing.Final = 30.0
+"""Timeout of the program that checks settings, seconds."""
 
 _Fields = abc.Mapping[str, typing.Any]
 
 
 def check_folder(folder: pathlib.Path) -> abc.Sequence[str]:
-    """Return what is wrong with a deploy folder, one sentence each.
+    """Return the problems of a deploy folder, one sentence each.
 
-    Programs and templates are looked for beside the folder.
+    Paths of programs and templates are relative to the folder's parent.
     """
     path = folder / _SYSTEM_FILE
     fields, problems = _read(path)
@@ -55,7 +57,7 @@
 def check_settings(
     folder: pathlib.Path, settings: pathlib.Path
 ) -> abc.Sequence[str]:
-    """Return what is wrong with a settings file for a folder's roles."""
+    """Return the problems of a settings file for the folder's roles."""
     fields, problems = _read(folder / _SYSTEM_FILE)
     if fields is None:
         return problems
@@ -67,7 +69,7 @@
     }
     programs = {program for program in programs if program.is_file()}
     if not programs:
-        return [f"{folder}: no role has a program that reads settings"]
+        return [f"{folder}: no role has a program that checks settings"]
     return [
         problem
         for program in sorted(programs)
@@ -84,14 +86,14 @@
             capture_output=True,
             text=True,
             check=False,
-            timeout=_WITHIN_S,
+            timeout=_SETTINGS_TIMEOUT_S,
         )
     except (OSError, subprocess.TimeoutExpired) as error:
         return [f"{program}: {error}"]
     if done.returncode == 0:
         return []
     lines = done.stdout.splitlines() or done.stderr.splitlines()[-1:]
-    return lines or [f"{program}: it ended with {done.returncode}"]
+    return lines or [f"{program}: exited with status {done.returncode}"]
 
 
 def _read(
@@ -113,14 +115,14 @@
 def _check_system(fields: _Fields, root: pathlib.Path) -> abc.Iterator[str]:
     build = fields.get("build")
     if not isinstance(build, str) or not build.strip():
-        yield "build is no command"
+        yield "build must be a command"
     roles = fields.get("roles")
     if not isinstance(roles, dict) or not roles:
-        yield "there are no roles"
+        yield "no roles are defined"
         return
     for name, role in roles.items():
         if not isinstance(role, dict):
-            yield f"role {name} is no table"
+            yield f"role {name} must be a table"
             continue
         for problem in _check_role(role, root):
             yield f"role {name}: {problem}"
@@ -131,44 +133,49 @@
 
 def _check_role(role: _Fields, root: pathlib.Path) -> abc.Iterator[str]:
     if not isinstance(role.get("run"), str) or not role["run"].strip():
-        yield "run is no command"
+        yield "run must be a command"
     else:
         program = _find_program(role, root)
         if program is not None and not program.is_file():
-            yield f"its program {program.relative_to(root)} is missing"
-    if role.get("on") not in _CLASSES:
-        yield f"on is none of {', '.join(_CLASSES)}"
-    yield from _check_number(role)
-    unknown = [item for item in _list_served(role) if item not in _SERVED]
+            yield f"its program {program.relative_to(root)} does not exist"
+    if role.get("on") not in _HOST_CLASSES:
+        yield f"on must be one of {', '.join(_HOST_CLASSES)}"
+    yield from _check_host_number(role)
+    unknown = [
+        item for item in _list_served(role) if item not in _CLIENT_KINDS
+    ]
     if unknown:
-        yield f"serves {unknown[0]!r}, which is none of {', '.join(_SERVED)}"
-    metrics = _METRICS.fullmatch(str(role.get("metrics", "1/")))
+        yield (
+            f"serves {unknown[0]!r}, "
+            f"which is not one of {', '.join(_CLIENT_KINDS)}"
+        )
+    metrics = _METRICS_ADDRESS.fullmatch(str(role.get("metrics", "1/")))
     if metrics is None or not 0 < int(metrics[1]) < 65536:
-        yield "metrics is no PORT/PATH"
+        yield "metrics must be PORT/PATH"
     yield from _check_template(role, root)
     environment = role.get("env", {})
     if not isinstance(environment, dict):
-        yield "env is no table"
+        yield "env must be a table"
         return
     for name in environment:
-        if not _VARIABLE.fullmatch(name):
-            yield f"env has {name!r}, which is no name in capitals"
+        if not _ENVIRONMENT_NAME.fullmatch(name):
+            yield f"env has {name!r}, which is not in capitals"
 
 
-def _check_number(role: _Fields) -> abc.Iterator[str]:
+def _check_host_number(role: _Fields) -> abc.Iterator[str]:
     if "share" in role and "count" in role:
-        yield "both share and count are given"
+        yield "share and count can not both be given"
     share = role.get("share", 1.0)
     if not _is_number(share) or not 0 < share <= 1:
-        yield "share is not above 0 and at most 1"
+        yield "share must be above 0 and at most 1"
     count = role.get("count", 1)
     if not _is_number(count) or count != int(count) or count < 1:
-        yield "count is no whole number above 0"
+        yield "count must be a whole number above 0"
 
 
 def _is_number(value: typing.Any) -> bool:
     is_number = isinstance(value, (int, float))
-    # False for what is no number, too.
+    # The last comparison also excludes NaN and infinity.
     return is_number and not isinstance(value, bool) and abs(value) < 1e9
 
 
@@ -177,22 +184,25 @@
         return
     path = root / str(role["template"])
     if not path.is_file():
-        yield f"its template {role['template']} is missing"
-    elif path.stat().st_size >= _MOST_TEMPLATE_BYTES:
-        yield f"its template has {_MOST_TEMPLATE_BYTES} bytes or more"
+        yield f"its template {role['template']} does not exist"
+    elif path.stat().st_size >= _MAX_TEMPLATE_BYTES:
+        yield f"its template has {_MAX_TEMPLATE_BYTES} bytes or more"
 
 
 def _check_hosts(roles: abc.Sequence[_Fields]) -> abc.Iterator[str]:
-    for name in _CLASSES:
+    for name in _HOST_CLASSES:
         here = [role for role in roles if role.get("on") == name]
-        if len(here) > _MOST_ROLES:
-            yield f"{len(here)} roles are on {name}, {_MOST_ROLES} may be"
+        if len(here) > _MAX_ROLES_PER_HOST:
+            yield (
+                f"{len(here)} roles are on {name}, "
+                f"at most {_MAX_ROLES_PER_HOST} can be"
+            )
         served = [item for role in here for item in _list_served(role)]
-        for item in _SERVED:
+        for item in _CLIENT_KINDS:
             if served.count(item) > 1:
                 yield f"{served.count(item)} roles on {name} serve {item}"
     if not any("front" in _list_served(role) for role in roles):
-        yield "no role serves front, so no caller is served"
+        yield "no role serves front, so callers are not served"
 
 
 def _list_served(role: _Fields) -> abc.Sequence[str]:
@@ -203,7 +213,7 @@
 def _find_program(
     role: _Fields, root: pathlib.Path
 ) -> typing.Optional[pathlib.Path]:
-    """Return the file that a role runs, if its command names one."""
+    """Return the Python file that a role runs, if its command names one."""
     for word in str(role.get("run", "")).split():
         if word.endswith(".py"):
             return root / word
@@ -213,16 +223,16 @@
 def _check_day(fields: _Fields) -> abc.Iterator[str]:
     if not isinstance(fields.get("name"), str):
         yield "the day has no name"
-    troubles = [
+    events_of_day = [
         item
         for group in ("plan", "faults")
         for item in _list_tables(fields.get(group))
     ]
-    if not troubles:
+    if not events_of_day:
         yield "the day has no plan and no faults"
-    for number, item in enumerate(troubles, 1):
+    for number, item in enumerate(events_of_day, 1):
         if not isinstance(item.get("kind"), str):
-            yield f"trouble {number} has no kind"
+            yield f"event {number} has no kind"
         at = item.get("at")
         if not _is_number(at) or typing.cast("float", at) < 0:
-            yield f"trouble {number} has no time"
+            yield f"event {number} has no valid time"
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/explain_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/explain_command.py
@@ -1,4 +1,4 @@
-"""The command ``gentianpoint explain``: a request's way from log lines."""
+"""The command ``gentianpoint explain``: one request's log timeline."""
 
 from collections import abc
 import pathlib
@@ -7,16 +7,17 @@
 import typer
 
 from gentianpoint_entry import log_lines
-from gentianpoint_entry import loss_summary
+from gentianpoint_entry import outcome_summary
 
 __all__ = ("explain_request", "register_explain_command")
 
-_SHOWN_APART: typing.Final = frozenset(
+_NON_DETAIL_FIELDS: typing.Final = frozenset(
     ("event", "host", "number", "request", "severity", "timestamp")
 )
-_NEAR: typing.Final = ("target", "source", "peer", "address")
-"""Fields by which lines of other processes belong to a request's way."""
-_OF_PROCESS: typing.Final = frozenset(
+_PROCESS_NAME_FIELDS: typing.Final = ("target", "source", "peer", "address")
+"""Fields that name a process; a line of another process belongs to a timeline
+if it names a process that the request's own lines name."""
+_PROCESS_EVENTS: typing.Final = frozenset(
     (
         "entry_started",
         "leaving_started",
@@ -27,49 +28,53 @@
         "shutdown_overdue",
     )
 )
-"""Events of a whole process that concern all requests there."""
-_ENDS: typing.Final = frozenset(("entry_started", "process_stopped"))
-"""Events by which a process is known to have ended, the one before too."""
-_OF_LISTING: typing.Final = frozenset(
+"""Events that affect every request of the process that logs them."""
+_PROCESS_END_EVENTS: typing.Final = frozenset(
+    ("entry_started", "process_stopped")
+)
+"""Events that show that a process ended; a start shows it of the previous
+one."""
+_DISCOVERY_EVENTS: typing.Final = frozenset(
     ("connection_opened", "target_announced", "target_listed")
 )
-"""Events that each process has for each target as it learns of it; those of
-other processes tell nothing of a request."""
+"""Events that every process logs for every target it discovers; those of
+other processes say nothing about a request."""
 
 
 def explain_request(
     texts: abc.Iterable[str], request: str
 ) -> abc.Sequence[str]:
-    """Return a request's way, a line a step, in the order of time.
+    """Return the timeline of a request, one line per event, sorted by time.
 
-    With it come the lines of all processes that tell of a target that the
-    request was at, while it was under way: its notice, its loss, its moves;
-    and what its entries tell of themselves. What became of it stands last.
+    Besides the request's own lines it has those that any process logged in
+    the meantime about the request's targets, such as that a target is
+    leaving or lost or that a generation moved, and those of its entries
+    about themselves. The last lines say how the request ended.
     """
-    lines = log_lines.sort_lines(texts)
+    lines = log_lines.parse_sorted(texts)
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
         return []
-    way = [
+    timeline = [
         *own,
-        *_find_around(lines, own),
-        *_find_ends(lines, own),
+        *_find_related(lines, own),
+        *_find_process_ends(lines, own),
     ]
-    way.sort(key=lambda line: line.timestamp)
+    timeline.sort(key=lambda line: line.timestamp)
     return [
-        *map(_describe, way),
+        *map(_format_line, timeline),
         *(
             f"{host}: {cause}"
-            for host, cause in loss_summary.find_causes(lines, request)
+            for host, cause in outcome_summary.find_causes(lines, request)
         ),
     ]
 
 
-def _find_around(
+def _find_related(
     lines: abc.Sequence[log_lines.Line], own: abc.Sequence[log_lines.Line]
 ) -> abc.Iterator[log_lines.Line]:
-    """Yield the lines of no request that tell of what a request met."""
-    names = {name for line in own for name in _list_names(line)}
+    """Yield related lines that belong to no request, while it ran."""
+    names = {name for line in own for name in _list_process_names(line)}
     hosts = {line.fields.get("host") for line in own}
     for line in lines:
         if not own[0].timestamp <= line.timestamp <= own[-1].timestamp:
@@ -78,19 +83,21 @@
             continue
         event = line.fields["event"]
         if line.fields.get("host") in hosts:
-            is_near = event in _OF_PROCESS or bool(names & _list_names(line))
+            is_related = event in _PROCESS_EVENTS or bool(
+                names & _list_process_names(line)
+            )
         else:
-            is_near = event not in _OF_LISTING and bool(
-                names & _list_names(line)
+            is_related = event not in _DISCOVERY_EVENTS and bool(
+                names & _list_process_names(line)
             )
-        if is_near:
+        if is_related:
             yield line
 
 
-def _find_ends(
+def _find_process_ends(
     lines: abc.Sequence[log_lines.Line], own: abc.Sequence[log_lines.Line]
 ) -> abc.Iterator[log_lines.Line]:
-    """Yield what became of entries that have no line of a request's end."""
+    """Yield the end of each process that did not log the request's end."""
     last = {line.fields.get("host"): line for line in own}
     for host, line in last.items():
         if line.fields["event"] == "request_ended":
@@ -99,23 +106,23 @@
             if (
                 later.timestamp > own[-1].timestamp
                 and later.fields.get("host") == host
-                and later.fields["event"] in _ENDS
+                and later.fields["event"] in _PROCESS_END_EVENTS
             ):
                 yield later
                 break
 
 
-def _list_names(line: log_lines.Line) -> abc.Set[str]:
-    found = (line.fields.get(name) for name in _NEAR)
+def _list_process_names(line: log_lines.Line) -> abc.Set[str]:
+    found = (line.fields.get(name) for name in _PROCESS_NAME_FIELDS)
     return {name for name in found if isinstance(name, str) and name}
 
 
-def _describe(line: log_lines.Line) -> str:
+def _format_line(line: log_lines.Line) -> str:
     fields = line.fields
     details = ", ".join(
         f"{name} {value}"
         for name, value in fields.items()
-        if name not in _SHOWN_APART and value not in ("", None)
+        if name not in _NON_DETAIL_FIELDS and value not in ("", None)
     )
     place = str(fields.get("host", "?"))
     number = fields.get("number", "")
@@ -132,13 +139,15 @@
         ],
         files: typing.Annotated[
             typing.Optional[list[pathlib.Path]],
-            typer.Argument(help="Files with log lines; none for input."),
+            typer.Argument(
+                help="Files with log lines; standard input if none."
+            ),
         ] = None,
     ) -> None:
-        """Print a request's way from the log lines of many processes."""
-        steps = explain_request(log_lines.open_texts(files), request)
+        """Print the timeline of a request from the logs of many processes."""
+        steps = explain_request(log_lines.read_text_lines(files), request)
         for step in steps:
             typer.echo(step)
         if not steps:
-            typer.echo(f"no line tells of {request}", err=True)
+            typer.echo(f"no log line mentions request {request}", err=True)
             raise typer.Exit(1)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/__init__.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/__init__.py
@@ -1,6 +1,6 @@
-"""The load tool: sends a seeded, open-loop mix and reports what callers see.
+"""The load generator: sends a seeded open-loop load and measures answers.
 
-The public surface is the modules named in ``__all__``.
+The public modules are those in ``__all__``.
 """
 
 from gentianpoint_entry.load import arrivals
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/arrivals.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/arrivals.py
@@ -1,8 +1,8 @@
-"""Arrivals: when which request is sent.
+"""Draws the times and contents of a load's requests.
 
-All is drawn before the first request is sent, so that the load does not
-depend on how fast answers come (an open loop), and the same seed gives the
-same requests whatever the system does.
+All requests are drawn before the first is sent. So the load does not depend
+on how fast answers come (an open loop), and the same seed gives the same
+requests whatever the system does.
 """
 
 from collections import abc
@@ -26,23 +26,25 @@
     "quadro",
     "polo",
 )
-_MEAN_WORD_CHARS: typing.Final = 8
+"""Words that prompts are made of."""
+_CHARS_PER_WORD: typing.Final = 8
+"""Approximate length of a word with the space after it, characters."""
 
 
 class Arrival(typing.NamedTuple):
-    """One request to be sent."""
+    """One request of the load."""
 
     at_s: float
-    """When, seconds from the start."""
+    """Time at which it is sent, seconds from the start."""
     kind: scenarios.RequestKind
-    """Its kind."""
+    """Kind of the request."""
     customer: str
-    """Customer who asks."""
+    """Name of the customer that sends it."""
     prompt: str
     """Prompt text."""
 
 
-def _find_factor(scenario: scenarios.Scenario, at_s: float) -> float:
+def _find_burst_factor(scenario: scenarios.Scenario, at_s: float) -> float:
     factors = [
         burst.factor
         for burst in scenario.bursts
@@ -51,37 +53,37 @@
     return max(factors, default=1.0)
 
 
-def _draw_words(source: numpy.random.Generator, chars: int) -> str:
-    count = max(1, chars // _MEAN_WORD_CHARS)
-    return " ".join(source.choice(_WORDS, count))
+def _draw_text(rng: numpy.random.Generator, chars: int) -> str:
+    count = max(1, chars // _CHARS_PER_WORD)
+    return " ".join(rng.choice(_WORDS, count))
 
 
 def _draw_prompt(
-    source: numpy.random.Generator,
+    rng: numpy.random.Generator,
     kind: scenarios.RequestKind,
     prefixes: abc.Sequence[str],
     number: int,
 ) -> str:
-    prefix = prefixes[int(source.integers(len(prefixes)))]
-    own = _draw_words(source, int(source.exponential(kind.prompt_chars)) + 1)
+    prefix = prefixes[int(rng.integers(len(prefixes)))]
+    own = _draw_text(rng, int(rng.exponential(kind.prompt_chars)) + 1)
     return f"{prefix} kind:{kind.name} request {number} {own}"
 
 
-def _choose(
-    source: numpy.random.Generator, shares: abc.Sequence[float]
+def _draw_index(
+    rng: numpy.random.Generator, shares: abc.Sequence[float]
 ) -> int:
     weights = numpy.asarray(shares) / sum(shares)
-    return int(source.choice(len(weights), p=weights))
+    return int(rng.choice(len(weights), p=weights))
 
 
 def draw_arrivals(
     scenario: scenarios.Scenario, seed: int
 ) -> abc.Sequence[Arrival]:
-    """Return the requests of a scenario in the order of their times."""
-    source = numpy.random.default_rng(seed)
+    """Return the requests of a scenario, sorted by time."""
+    rng = numpy.random.default_rng(seed)
     prefixes = [
         [
-            _draw_words(source, kind.prefix_chars)[: kind.prefix_chars]
+            _draw_text(rng, kind.prefix_chars)[: kind.prefix_chars]
             for _ in range(kind.templates)
         ]
         for kind in scenario.kinds
@@ -91,12 +93,12 @@
     arrivals: list[Arrival] = []
     at_s = 0.0
     while True:
-        rate = scenario.rate * _find_factor(scenario, at_s)
-        at_s += float(source.exponential(1.0 / rate))
+        rate = scenario.rate * _find_burst_factor(scenario, at_s)
+        at_s += float(rng.exponential(1.0 / rate))
         if at_s >= scenario.seconds:
             return arrivals
-        chosen = _choose(source, kind_shares)
+        chosen = _draw_index(rng, kind_shares)
         kind = scenario.kinds[chosen]
-        customer = scenario.customers[_choose(source, customer_shares)].name
-        prompt = _draw_prompt(source, kind, prefixes[chosen], len(arrivals))
+        customer = scenario.customers[_draw_index(rng, customer_shares)].name
+        prompt = _draw_prompt(rng, kind, prefixes[chosen], len(arrivals))
         arrivals.append(Arrival(at_s, kind, customer, prompt))
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/callers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/callers.py
@@ -1,4 +1,4 @@
-"""Callers: each request is a task that reads its stream."""
+"""Sends the requests of a load and reads their streams, one task each."""
 
 from collections import abc
 import typing
@@ -13,69 +13,70 @@
 __all__ = ("LoadTarget", "send_load")
 
 _CONNECT_TIMEOUT_S: typing.Final = 5.0
-_MS_IN_S: typing.Final = 1000
-_EVENT_ID: typing.Final = b"id: "
-_DATA: typing.Final = b"data: "
-_DONE: typing.Final = b"data: [DONE]"
+"""Timeout of a connection attempt, seconds."""
+_MS_PER_S: typing.Final = 1000
+_EVENT_ID_PREFIX: typing.Final = b"id: "
+_DATA_PREFIX: typing.Final = b"data: "
+_DONE_LINE: typing.Final = b"data: [DONE]"
 
 
 class LoadTarget(typing.NamedTuple):
-    """Where the load goes."""
+    """The deployment that a load is sent to."""
 
     entries: abc.Sequence[str]
-    """Base URLs of entries, taken in turn as a balancer would."""
+    """Base URLs of entries, used in turn as a load balancer would."""
     keys: abc.Mapping[str, str]
-    """Bearer key of each customer."""
+    """Bearer keys, by customer."""
     service: str
-    """Service that is asked."""
+    """Name of the service that requests name as their model."""
 
 
-class _StreamClock:
-    """Times of one stream's tokens."""
+class _TokenTimer:
+    """Measures the times at which one stream's tokens arrive."""
 
     def __init__(self) -> None:
-        self.began_s: typing.Final = trio.current_time()
+        self.started_s: typing.Final = trio.current_time()
         self.gaps_ms: typing.Final[list[float]] = []
         self.first_ms = 0.0
         self._last_s = 0.0
 
-    def note_tokens(self, count: int) -> None:
-        """Note tokens that came together; only the first waited."""
+    def record_tokens(self, count: int) -> None:
+        """Record tokens that came together: only the first has a gap."""
         now_s = trio.current_time()
         if not self.first_ms:
-            self.first_ms = (now_s - self.began_s) * _MS_IN_S
+            self.first_ms = (now_s - self.started_s) * _MS_PER_S
         else:
-            self.gaps_ms.append((now_s - self._last_s) * _MS_IN_S)
+            self.gaps_ms.append((now_s - self._last_s) * _MS_PER_S)
         self.gaps_ms.extend([0.0] * (count - 1))
         self._last_s = now_s
 
-    def read_total_ms(self) -> float:
-        """Return the time since the request was sent."""
-        return (trio.current_time() - self.began_s) * _MS_IN_S
+    def measure_total_ms(self) -> float:
+        """Return the time since the request was sent, milliseconds."""
+        return (trio.current_time() - self.started_s) * _MS_PER_S
 
 
-def _read_code(data: bytes) -> str:
+def _read_error_code(data: bytes) -> str:
     try:
         return str(msgspec.json.decode(data)["error"]["code"])
     except (msgspec.DecodeError, KeyError, TypeError):
         return "broken"
 
 
-async def _read_stream(answer: httpx.Response, clock: _StreamClock) -> str:
-    """Read the events of a streamed answer and return its outcome."""
+async def _read_stream(answer: httpx.Response, timer: _TokenTimer) -> str:
+    """Read the events of a streamed answer, and return its outcome."""
     outcome = "broken"
     partial = b""
     async for chunk in answer.aiter_raw():
         lines = (partial + chunk).split(b"\n")
         partial = lines.pop()
-        tokens = sum(line.startswith(_EVENT_ID) for line in lines)
+        tokens = sum(line.startswith(_EVENT_ID_PREFIX) for line in lines)
         if tokens:
-            clock.note_tokens(tokens)
+            timer.record_tokens(tokens)
         for line in lines:
-            if line.startswith(_DONE):
+            if line.startswith(_DONE_LINE):
                 outcome = results.OK
             elif line.startswith(b'data: {"error"'):
-                outcome = _read_code(line.removeprefix(_DATA))
+                outcome = _read_error_code(line.removeprefix(_DATA_PREFIX))
     return outcome
 
 
@@ -101,7 +102,7 @@
     }
     if arrival.kind.max_tokens:
         body["max_tokens"] = arrival.kind.max_tokens
-    clock = _StreamClock()
+    timer = _TokenTimer()
     outcome = "broken"
     try:
         async with client.stream(
@@ -111,32 +112,32 @@
             headers=_make_headers(arrival, target.keys[arrival.customer]),
         ) as answer:
             if answer.status_code == httpx.codes.OK:
-                outcome = await _read_stream(answer, clock)
+                outcome = await _read_stream(answer, timer)
             else:
-                outcome = _read_code(await answer.aread())
+                outcome = _read_error_code(await answer.aread())
     except httpx.HTTPError:
         outcome = "broken"
-    tokens = len(clock.gaps_ms) + (1 if clock.first_ms else 0)
+    tokens = len(timer.gaps_ms) + (1 if timer.first_ms else 0)
     return results.RequestOutcome(
         arrival.kind.name,
         arrival.customer,
         outcome,
         arrival.at_s,
-        clock.first_ms,
-        clock.gaps_ms,
+        timer.first_ms,
+        timer.gaps_ms,
         tokens,
-        clock.read_total_ms(),
+        timer.measure_total_ms(),
     )
 
 
 async def send_load(
     target: LoadTarget,
-    planned: abc.Sequence[arrivals.Arrival],
-    note: abc.Callable[[results.RequestOutcome], None],
+    scheduled: abc.Sequence[arrivals.Arrival],
+    on_outcome: abc.Callable[[results.RequestOutcome], None],
 ) -> None:
-    """Send all requests at their times and wait for their ends.
+    """Send all requests at their times, and wait until all have ended.
 
-    ``note`` is called with each outcome as it comes.
+    ``on_outcome`` is called when a request ends.
     """
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=0)
     timeout = httpx.Timeout(None, connect=_CONNECT_TIMEOUT_S)
@@ -146,12 +147,12 @@
         ) as client,
         trio.open_nursery() as nursery,
     ):
-        began_s = trio.current_time()
+        started_s = trio.current_time()
 
         async def send(number: int, arrival: arrivals.Arrival) -> None:
             entry = target.entries[number % len(target.entries)]
-            note(await _send_request(client, target, entry, arrival))
+            on_outcome(await _send_request(client, target, entry, arrival))
 
-        for number, arrival in enumerate(planned):
-            await trio.sleep_until(began_s + arrival.at_s)
+        for number, arrival in enumerate(scheduled):
+            await trio.sleep_until(started_s + arrival.at_s)
             nursery.start_soon(send, number, arrival)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/reports.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/reports.py
@@ -1,4 +1,4 @@
-"""Reports of a run: JSON and a self-contained HTML page with plots."""
+"""Writes the results of a run as JSON or as an HTML page with plots."""
 
 from collections import abc
 import html
@@ -15,6 +15,7 @@
 __all__ = ("write_html", "write_json")
 
 _QUANTILES: typing.Final = tuple(step / 200 for step in range(1, 200))
+"""Quantiles that a plot of a distribution is drawn through."""
 _PAGE: typing.Final = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{title}</title>
 <style>body{{font-family:sans-serif;margin:2em;max-width:60em}}
@@ -27,7 +28,7 @@
 def write_json(
     path: pathlib.Path, summary: abc.Mapping[str, typing.Any]
 ) -> None:
-    """Write the figures of a run as JSON."""
+    """Write the results of a run as JSON."""
     data = msgspec.json.format(msgspec.json.encode(summary), indent=2)
     path.write_bytes(data + b"\n")
 
@@ -69,9 +70,9 @@
     path: pathlib.Path,
     title: str,
     summary: abc.Mapping[str, typing.Any],
-    run: results.LoadResults,
+    measured: results.LoadResults,
 ) -> None:
-    """Write a page that needs nothing but itself."""
+    """Write a page that loads no other file."""
     rows = "".join(
         f"<tr><td>{html.escape(name)}</td><td>{html.escape(value)}</td></tr>"
         for name, value in _flatten(summary)
@@ -79,9 +80,9 @@
     plots = "".join(
         _draw_quantiles(name, {name: sketch}, "milliseconds")
         for name, sketch in (
-            ("time between tokens", run.gaps),
-            ("time to the first token", run.first),
-            ("stall time of a stream", run.stalls),
+            ("time between tokens", measured.token_gaps),
+            ("time to the first token", measured.first_token_times),
+            ("stall time of a stream", measured.stall_times),
         )
     )
     page = _PAGE.format(title=html.escape(title), rows=rows, plots=plots)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/results.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/results.py
@@ -1,7 +1,9 @@
-"""What callers saw, in sketches of bounded size.
+"""Aggregates what the callers of a load measured.
 
-A stream's expected pace is the median of its own gaps; the time by which a
-gap exceeds twice of it is stall time. Times are milliseconds.
+Distributions are kept in quantile sketches of bounded size. The pace of a
+stream is the median of the gaps between its tokens. A gap longer than twice
+the pace is a stall, and its stall time is the gap minus the pace. Times are
+in milliseconds unless a name ends in ``_s``.
 """
 
 from collections import abc
@@ -14,31 +16,35 @@
 
 _QUANTILES: typing.Final = (0.5, 0.95, 0.99)
 _STALL_FACTOR: typing.Final = 2.0
-_LEAST_S: typing.Final = 1.0
-_MS_IN_S: typing.Final = 1000
+"""Multiple of a stream's pace above which a gap is a stall."""
+_MIN_DURATION_S: typing.Final = 1.0
+"""Shortest time that goodput is divided by, seconds."""
+_MS_PER_S: typing.Final = 1000
 _ACCURACY: typing.Final = 0.01
+"""Relative error of a quantile."""
 OK: typing.Final = "ok"
+"""Outcome of a request that was answered completely."""
 
 
 class RequestOutcome(typing.NamedTuple):
-    """What became of one request."""
+    """How one request ended."""
 
     kind: str
-    """Kind of request."""
+    """Name of the kind of request."""
     customer: str
-    """Customer who asked."""
+    """Name of the customer that sent it."""
     outcome: str
-    """``ok`` or the error code; ``broken`` for a broken connection."""
+    """``ok``, an error code, or ``broken`` if the answer has neither."""
     at_s: float
-    """When it was sent, seconds from the start."""
+    """Time at which it was sent, seconds from the start."""
     first_ms: float
-    """Time to the first token; 0 when none came."""
+    """Time to the first token; 0 if none came."""
     gaps_ms: abc.Sequence[float]
     """Times between tokens."""
     tokens: int
-    """Tokens that came."""
+    """Number of tokens received."""
     total_ms: float
-    """Time to the final answer."""
+    """Time until the request ended."""
 
 
 def _measure_stall_ms(gaps_ms: abc.Sequence[float]) -> float:
@@ -50,69 +56,73 @@
 
 
 class LoadResults:
-    """Figures of one run, added up outcome by outcome."""
+    """Results of one run, accumulated request by request."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.gaps: typing.Final = ddsketch.DDSketch(_ACCURACY)
-        self.first: typing.Final = ddsketch.DDSketch(_ACCURACY)
-        self.stalls: typing.Final = ddsketch.DDSketch(_ACCURACY)
+        """Start without requests."""
+        self.token_gaps: typing.Final = ddsketch.DDSketch(_ACCURACY)
+        self.first_token_times: typing.Final = ddsketch.DDSketch(_ACCURACY)
+        self.stall_times: typing.Final = ddsketch.DDSketch(_ACCURACY)
         self.outcomes: typing.Final[dict[str, int]] = {}
-        self.tokens_of: typing.Final[dict[str, int]] = {}
-        self.requests_of: typing.Final[dict[str, int]] = {}
-        self.ok_of: typing.Final[dict[str, int]] = {}
+        self.tokens_by_customer: typing.Final[dict[str, int]] = {}
+        self.requests_by_customer: typing.Final[dict[str, int]] = {}
+        self.completed_by_customer: typing.Final[dict[str, int]] = {}
         self.last_end_s = 0.0
         self.stall_ms = 0.0
         self.good_tokens = 0
         self.lost_tokens = 0
 
     def add(self, outcome: RequestOutcome) -> None:
-        """Add what became of one request."""
+        """Add the outcome of one request."""
         name, customer = outcome.outcome, outcome.customer
         self.outcomes[name] = self.outcomes.get(name, 0) + 1
-        self.requests_of[customer] = self.requests_of.get(customer, 0) + 1
-        ended_s = outcome.at_s + outcome.total_ms / _MS_IN_S
+        self.requests_by_customer[customer] = (
+            self.requests_by_customer.get(customer, 0) + 1
+        )
+        ended_s = outcome.at_s + outcome.total_ms / _MS_PER_S
         self.last_end_s = max(self.last_end_s, ended_s)
         if outcome.first_ms:
-            self.first.add(outcome.first_ms)
+            self.first_token_times.add(outcome.first_ms)
         for gap_ms in outcome.gaps_ms:
-            self.gaps.add(gap_ms)
+            self.token_gaps.add(gap_ms)
         stall_ms = _measure_stall_ms(outcome.gaps_ms)
         self.stall_ms += stall_ms
         if outcome.tokens > 1:
-            self.stalls.add(stall_ms)
+            self.stall_times.add(stall_ms)
         if name != OK:
             self.lost_tokens += outcome.tokens
             return
         self.good_tokens += outcome.tokens
-        self.ok_of[customer] = self.ok_of.get(customer, 0) + 1
-        tokens = self.tokens_of.get(customer, 0) + outcome.tokens
-        self.tokens_of[customer] = tokens
+        self.completed_by_customer[customer] = (
+            self.completed_by_customer.get(customer, 0) + 1
+        )
+        tokens = self.tokens_by_customer.get(customer, 0) + outcome.tokens
+        self.tokens_by_customer[customer] = tokens
 
     def count_requests(self) -> int:
         """Return the number of requests."""
         return sum(self.outcomes.values())
 
-    def find_least_share(self) -> float:
-        """Return the worst customer's share of requests answered whole.
+    def compute_least_share(self) -> float:
+        """Return the smallest share of answered requests of any customer.
 
-        It is divided by the share over all customers: 1 is what a fair
-        system gives, under 0.5 somebody was starved.
+        It is relative to the share over all customers: 1 means that all
+        customers were treated alike, below 0.5 that one was starved.
         """
         answered = self.outcomes.get(OK, 0) / max(1, self.count_requests())
         if not answered:
             return 0.0
         return min(
-            self.ok_of.get(customer, 0) / count / answered
-            for customer, count in self.requests_of.items()
+            self.completed_by_customer.get(customer, 0) / count / answered
+            for customer, count in self.requests_by_customer.items()
         )
 
     def summarize(self) -> dict[str, typing.Any]:
-        """Return all figures as plain values for JSON.
+        """Return all results as plain values for JSON.
 
-        Goodput counts the tokens of whole answers over the time until the
-        last answer, so that a backlog which is worked off after the load
-        has ended is not taken for throughput.
+        Goodput is the tokens of complete answers per second until the last
+        request ended. Dividing by the duration of the load instead would
+        count a backlog that is answered after its end as throughput.
         """
         requests = self.count_requests()
         return {
@@ -120,16 +130,18 @@
             "outcomes": dict(sorted(self.outcomes.items())),
             "answered_share": self.outcomes.get(OK, 0) / max(1, requests),
             "goodput_tokens_per_s": self.good_tokens
-            / max(_LEAST_S, self.last_end_s),
+            / max(_MIN_DURATION_S, self.last_end_s),
             "last_end_s": self.last_end_s,
             "lost_tokens": self.lost_tokens,
             "stall_ms_total": self.stall_ms,
             "stall_ms_per_request": self.stall_ms / max(1, requests),
-            "stall_ms": _read_quantiles(self.stalls),
-            "time_between_tokens_ms": _read_quantiles(self.gaps),
-            "first_token_ms": _read_quantiles(self.first),
-            "least_customer_share": self.find_least_share(),
-            "tokens_by_customer": dict(sorted(self.tokens_of.items())),
+            "stall_ms": _read_quantiles(self.stall_times),
+            "time_between_tokens_ms": _read_quantiles(self.token_gaps),
+            "first_token_ms": _read_quantiles(self.first_token_times),
+            "least_customer_share": self.compute_least_share(),
+            "tokens_by_customer": dict(
+                sorted(self.tokens_by_customer.items())
+            ),
         }
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs a load from a scenario file to its reports."""
+"""Runs the load of a scenario file and reports its results."""
 
 import functools
 import pathlib
@@ -15,13 +15,14 @@
 from gentianpoint_entry.load import results
 from gentianpoint_entry.load import scenarios
 
-__all__ = ("LoadOrder", "run_load")
+__all__ = ("LoadOptions", "run_load")
 
-_PROGRESS_S: typing.Final = 1.0
+_PROGRESS_INTERVAL_S: typing.Final = 1.0
+"""Interval between two lines of progress, seconds."""
 
 
-class _KeysFile(msgspec.Struct):
-    """The part of a deployment file that names customers and entries."""
+class _DeploymentFile(msgspec.Struct):
+    """The fields of a deployment file that the load generator needs."""
 
     customers: list[dict[str, str]]
     entries: list[dict[str, typing.Any]] = []
@@ -31,7 +32,9 @@
     deployment: pathlib.Path, entries: typing.Sequence[str], service: str
 ) -> callers.LoadTarget:
     try:
-        known = msgspec.json.decode(deployment.read_bytes(), type=_KeysFile)
+        known = msgspec.json.decode(
+            deployment.read_bytes(), type=_DeploymentFile
+        )
     except (OSError, msgspec.DecodeError) as error:
         raise typer.BadParameter(f"{deployment}: {error}") from error
     urls = entries or [str(row["url"]) for row in known.entries]
@@ -39,65 +42,69 @@
     return callers.LoadTarget(urls, keys, service)
 
 
-async def _show_progress(run: results.LoadResults, planned: int) -> None:
+async def _show_progress(
+    measured: results.LoadResults, scheduled: int
+) -> None:
     while True:
-        await trio.sleep(_PROGRESS_S)
-        ended = run.count_requests()
-        gap = run.gaps.get_quantile_value(0.99) or 0.0
+        await trio.sleep(_PROGRESS_INTERVAL_S)
+        ended = measured.count_requests()
+        gap = measured.token_gaps.get_quantile_value(0.99) or 0.0
         print(
-            f"{ended}/{planned} ended, {run.good_tokens} tokens, "
-            f"99th percentile between tokens {gap:.0f} ms, "
-            f"outcomes {run.outcomes}",
+            f"{ended}/{scheduled} ended, {measured.good_tokens} tokens, "
+            f"99th percentile of time between tokens {gap:.0f} ms, "
+            f"outcomes {measured.outcomes}",
             file=sys.stderr,
         )
 
 
 async def _run_load(
     target: callers.LoadTarget,
-    planned: typing.Sequence[arrivals.Arrival],
-    run: results.LoadResults,
+    scheduled: typing.Sequence[arrivals.Arrival],
+    measured: results.LoadResults,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_show_progress, run, len(planned))
-        await callers.send_load(target, planned, run.add)
+        nursery.start_soon(_show_progress, measured, len(scheduled))
+        await callers.send_load(target, scheduled, measured.add)
         nursery.cancel_scope.cancel()
 
 
-class LoadOrder(typing.NamedTuple):
-    """What the command line asks for."""
+class LoadOptions(typing.NamedTuple):
+    """Options of the command line."""
 
     scenario: pathlib.Path
     """Scenario file."""
     deployment: pathlib.Path
-    """File with entries and customers' keys."""
+    """File with the entries and the customers' keys."""
     entries: typing.Sequence[str]
-    """URLs of entries; empty for those of the deployment."""
+    """URLs of entries; if empty, those of the deployment file."""
     seed: int
-    """Seed of arrivals and prompts."""
+    """Random seed of arrivals and prompts."""
     json_file: typing.Optional[pathlib.Path]
-    """File for the figures."""
+    """File for the results as JSON."""
     html_file: typing.Optional[pathlib.Path]
-    """File for the report with plots."""
+    """File for the HTML report with plots."""
 
 
-def run_load(order: LoadOrder) -> None:
-    """Send the load, print the figures and write the reports."""
+def run_load(options: LoadOptions) -> None:
+    """Send the load, print the results and write the reports."""
     try:
-        chosen = scenarios.load_scenario(order.scenario)
+        scenario = scenarios.load_scenario(options.scenario)
     except scenarios.ScenarioError as error:
         raise typer.BadParameter(str(error)) from error
-    target = _read_target(order.deployment, order.entries, chosen.service)
-    planned = arrivals.draw_arrivals(chosen, order.seed)
-    run = results.LoadResults()
-    trio.run(functools.partial(_run_load, target, planned, run))
+    target = _read_target(
+        options.deployment, options.entries, scenario.service
+    )
+    scheduled = arrivals.draw_arrivals(scenario, options.seed)
+    measured = results.LoadResults()
+    trio.run(functools.partial(_run_load, target, scheduled, measured))
     summary = {
-        "scenario": chosen.name,
-        "seed": order.seed,
-        **run.summarize(),
+        "scenario": scenario.name,
+        "seed": options.seed,
+        **measured.summarize(),
     }
     print(msgspec.json.format(msgspec.json.encode(summary)).decode())
-    if order.json_file is not None:
-        reports.write_json(order.json_file, summary)
-    if order.html_file is not None:
-        title = f"{chosen.name}, seed {order.seed}"
-        reports.write_html(order.html_file, title, summary, run)
+    if options.json_file is not None:
+        reports.write_json(options.json_file, summary)
+    if options.html_file is not None:
+        title = f"{scenario.name}, seed {options.seed}"
+        reports.write_html(options.html_file, title, summary, measured)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/scenarios.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/scenarios.py
@@ -1,7 +1,7 @@
-"""Scenario files: what load is sent.
+"""Loads scenario files, which define the load to send.
 
-A scenario is a YAML file that says how long, how many requests a second, of
-which kinds and by which customers::
+A scenario is a YAML file with the duration, the request rate, the kinds of
+requests and the customers that send them::
 
     name: busy
     seconds: 30
@@ -14,7 +14,7 @@
     bursts:
       - {from_s: 10, to_s: 15, factor: 3}
 
-How long answers are is never in it: engines decide that.
+It does not define the length of answers, which engines decide.
 """
 
 import pathlib
@@ -33,71 +33,72 @@
 
 
 class ScenarioError(Exception):
-    """A scenario file can't be used; the text names the field."""
+    """A scenario file is invalid; the message names the field."""
 
 
 class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One kind of request."""
 
     name: str
-    """Name; prompts carry it as ``kind:NAME``."""
+    """Name; prompts contain it as ``kind:NAME``."""
     share: float
-    """Share of the requests."""
+    """Share of all requests, relative to the shares of the other kinds."""
     prefix_chars: int = 0
-    """Characters that all prompts of a template share."""
+    """Length of the prefix that all prompts of a template share."""
     templates: int = 1
-    """Number of templates, each with a prefix of its own."""
+    """Number of templates, each with its own prefix."""
     prompt_chars: int = 120
-    """Characters of a prompt after the prefix, in the mean."""
+    """Mean length of a prompt after its prefix, characters."""
     max_tokens: int = 0
-    """Limit that the caller sends; 0 for none."""
+    """Token limit that the request sends; 0 for none."""
     repeatable: bool = True
-    """False when the request may run at most once."""
+    """Whether the request may run more than once."""
     deadline_ms: int = 0
-    """Time in which the answer has to be whole, milliseconds; 0 for none."""
+    """Deadline of the complete answer, milliseconds; 0 for none."""
 
 
 class CustomerShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One customer and its share of the requests."""
+    """One customer and its share of all requests."""
 
     name: str
     """Name of the customer."""
     share: float
-    """Share of the requests."""
+    """Share of all requests, relative to the shares of other customers."""
 
 
 class Burst(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A time in which more requests come."""
+    """A period with a different request rate."""
 
     from_s: float
-    """Begin, seconds from the start."""
+    """Start of the period, seconds from the start of the load."""
     to_s: float
-    """End, seconds from the start."""
+    """End of the period, seconds from the start of the load."""
     factor: float
-    """Factor on the rate."""
+    """Factor that the request rate is multiplied by."""
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole scenario."""
+    """Definition of a load."""
 
     name: str
-    """Name, for the report."""
+    """Name that reports show."""
     service: str
-    """Service that is asked."""
+    """Name of the service that requests are sent to."""
     seconds: float
-    """Time in which requests are sent, seconds."""
+    """Duration of the load, seconds."""
     rate: float
-    """Requests a second in the mean; arrivals are a Poisson process."""
+    """Mean requests per second; arrivals are a Poisson process."""
     kinds: list[RequestKind]
     """Kinds of requests."""
     customers: list[CustomerShare]
-    """Customers who ask."""
+    """Customers that send requests."""
     bursts: list[Burst] = []
-    """Times of more requests."""
+    """Periods with a different rate; where they overlap, the highest factor
+    applies."""
 
 
 def load_scenario(path: pathlib.Path) -> Scenario:
-    """Return the scenario in a file, or raise with the field's path."""
+    """Return the scenario in a file; raise ``ScenarioError`` if invalid."""
     try:
         decoded = yaml.safe_load(path.read_text())
         scenario = msgspec.convert(decoded, Scenario)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load_command.py
@@ -1,4 +1,4 @@
-"""The command ``gentianpoint load``."""
+"""The command ``gentianpoint load``: sends a load and measures it."""
 
 import importlib
 import pathlib
@@ -21,29 +21,33 @@
         ],
         deployment: typing.Annotated[
             pathlib.Path,
-            typer.Option(help="File with entries and customers' keys."),
+            typer.Option(
+                help="File with the entries and the customers' keys."
+            ),
         ] = pathlib.Path(".run/deployment.json"),
         entry: typing.Annotated[
             typing.Optional[list[str]],
-            typer.Option(help="URL of an entry; several allowed."),
+            typer.Option(help="URL of an entry; can be repeated."),
         ] = None,
         seed: typing.Annotated[
-            int, typer.Option(help="Seed of arrivals and prompts.")
+            int, typer.Option(help="Random seed of arrivals and prompts.")
         ] = 1,
         json_file: typing.Annotated[
             typing.Optional[pathlib.Path],
-            typer.Option("--json", help="File for the figures."),
+            typer.Option("--json", help="File for the results as JSON."),
         ] = None,
         html_file: typing.Annotated[
             typing.Optional[pathlib.Path],
-            typer.Option("--html", help="File for the report with plots."),
+            typer.Option(
+                "--html", help="File for the HTML report with plots."
+            ),
         ] = None,
     ) -> None:
-        """Send a load of a scenario and report what callers see."""
-        # Plots and random numbers take some 40 MB, which an entry that runs
-        # from the same binary must not carry: they are imported here.
+        """Send the load of a scenario and report what callers measure."""
+        # Matplotlib and NumPy take some 40 MB. They are imported only here
+        # because an entry, which shares the executable, must not hold them.
         runner = importlib.import_module(_RUNNER)
-        order = runner.LoadOrder(
+        options = runner.LoadOptions(
             scenario, deployment, entry or (), seed, json_file, html_file
         )
-        runner.run_load(order)
+        runner.run_load(options)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/log_lines.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/log_lines.py
@@ -1,5 +1,4 @@
-"""Log lines of many processes, as the commands for on-call engineers read
-them."""
+"""Parses the log lines of many processes for the operators' commands."""
 
 from collections import abc
 import json
@@ -7,20 +6,20 @@
 import sys
 import typing
 
-__all__ = ("Line", "open_texts", "read_lines", "sort_lines")
+__all__ = ("Line", "parse_lines", "parse_sorted", "read_text_lines")
 
 
 class Line(typing.NamedTuple):
     """One log line."""
 
     timestamp: str
-    """Its time as written, which sorts as text."""
+    """Timestamp as written; its text order is the order of time."""
     fields: abc.Mapping[str, typing.Any]
-    """All of its fields."""
+    """All fields of the line, the timestamp included."""
 
 
-def read_lines(texts: abc.Iterable[str]) -> abc.Iterator[Line]:
-    """Yield the log lines in texts; a prefix before the brace is left out."""
+def parse_lines(texts: abc.Iterable[str]) -> abc.Iterator[Line]:
+    """Yield the log lines in texts; a prefix before the brace is ignored."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -28,21 +27,21 @@
         try:
             fields = json.loads(text[start:])
         except (ValueError, RecursionError):
-            # Output of something else, or a line that was cut.
+            # Output of another program, or a truncated line.
             continue
         if isinstance(fields, dict) and isinstance(fields.get("event"), str):
             yield Line(str(fields.get("timestamp", "")), fields)
 
 
-def sort_lines(texts: abc.Iterable[str]) -> abc.Sequence[Line]:
-    """Return the log lines in texts in the order of time."""
-    return sorted(read_lines(texts), key=lambda line: line.timestamp)
+def parse_sorted(texts: abc.Iterable[str]) -> abc.Sequence[Line]:
+    """Return the log lines in texts, sorted by time."""
+    return sorted(parse_lines(texts), key=lambda line: line.timestamp)
 
 
-def open_texts(
+def read_text_lines(
     files: typing.Optional[abc.Sequence[pathlib.Path]],
 ) -> abc.Iterable[str]:
-    """Return the lines of files, of the standard input without any."""
+    """Return the lines of files, or of standard input if there are none."""
     if not files:
         return sys.stdin
     return [
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/lost_worth.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/lost_worth.py
@@ -1,8 +1,9 @@
-"""How much of what requests are worth was lost, by route and cause.
+"""Computes the share of the requests' value that was lost, by cause.
 
-The commonest cause may cost little: short answers are many, and a long one
-that is lost is worth more than all of them. Operators say what an answer of a
-route is worth; a generation weighs by its size against the mean of its route.
+The most frequent cause may cost little: there are many short answers, and one
+long answer can be worth more than all of them together. Operators give the
+value of an answer on each route with the option ``--worth``. A generation is
+weighted by its size relative to the mean of its route.
 """
 
 import collections
@@ -10,70 +11,70 @@
 import statistics
 import typing
 
-from gentianpoint_entry import loss_summary
+from gentianpoint_entry import outcome_summary
 
-__all__ = ("Worth", "parse_worth", "weigh_losses")
+__all__ = ("AnswerValue", "compute_lost_shares", "parse_answer_value")
 
-_FIXED_SHARE: typing.Final = 0.3
-"""Share of a generation's worth that does not grow with its size."""
-_MOST_TIMES: typing.Final = 4.0
-"""Times the worth of its route that a generation counts at most."""
-_LATE: typing.Final = frozenset(
+_SIZE_INDEPENDENT_SHARE: typing.Final = 0.3
+"""Share of a generation's value that does not depend on its size."""
+_MAX_WEIGHT: typing.Final = 4.0
+"""Largest weight of a generation, as a multiple of its route's value."""
+_LATE_CAUSES: typing.Final = frozenset(
     (
-        loss_summary.Cause.LATE_MOVE,
-        loss_summary.Cause.LATE_PAUSE,
-        loss_summary.Cause.LATE_TRIES,
-        loss_summary.Cause.LATE_FIRST,
+        outcome_summary.Cause.LATE_MOVE,
+        outcome_summary.Cause.LATE_PAUSE,
+        outcome_summary.Cause.LATE_AFTER_FAILURE,
+        outcome_summary.Cause.LATE_START,
     )
 )
 
 
-class Worth(typing.NamedTuple):
-    """What a request of one route is worth to its caller."""
+class AnswerValue(typing.NamedTuple):
+    """Value of an answer on one route to its caller."""
 
     on_time: float
-    """Worth of an answer in time."""
+    """Value of an answer in time."""
     late: float
-    """Worth of a late answer."""
+    """Value of a late answer."""
 
 
-def parse_worth(text: str) -> tuple[str, Worth]:
-    """Return a route and its worth from ``ROUTE=ON_TIME[,LATE]``.
+def parse_answer_value(text: str) -> tuple[str, AnswerValue]:
+    """Return a route and its value from ``ROUTE=ON_TIME[,LATE]``.
 
-    >>> parse_worth("reports=160,24")
-    ('reports', Worth(on_time=160.0, late=24.0))
+    >>> parse_answer_value("reports=160,24")
+    ('reports', AnswerValue(on_time=160.0, late=24.0))
     """
-    route, _, figures = text.rpartition("=")
-    on_time, _, late = figures.partition(",")
+    route, _, values = text.rpartition("=")
+    on_time, _, late = values.partition(",")
     if not route:
-        raise ValueError(f"{text!r} names no route")
-    return route, Worth(float(on_time), float(late or 0))
+        raise ValueError(f"{text!r} has no route before '='")
+    return route, AnswerValue(float(on_time), float(late or 0))
 
 
-def weigh_losses(
-    judged: abc.Iterable[loss_summary.JudgedRequest],
-    worths: abc.Mapping[str, Worth],
+def compute_lost_shares(
+    classified: abc.Iterable[outcome_summary.ClassifiedRequest],
+    values_by_route: abc.Mapping[str, AnswerValue],
 ) -> abc.Mapping[str, abc.Mapping[str, float]]:
-    """Return the share of all worth that was lost, by route and cause.
+    """Return the share of the total value that was lost, by route and cause.
 
-    Callers that left asked for no answer any more; they and routes without a
-    worth are left out.
+    Requests whose caller left no longer wanted an answer. They are left out,
+    and so are routes without a value.
     """
-    owed = [
+    counted = [
         item
-        for item in judged
-        if item.route in worths
-        and item.cause != loss_summary.Cause.CALLER_LEFT
+        for item in classified
+        if item.route in values_by_route
+        and item.cause != outcome_summary.Cause.CALLER_LEFT
     ]
-    means = _find_mean_sizes(owed)
+    means = _compute_mean_sizes(counted)
     total = 0.0
     losses: dict[str, collections.defaultdict[str, float]] = {}
-    for item in owed:
-        worth = worths[item.route]
-        weight = _find_weight(item.size, means.get(item.route, 0.0))
-        total += weight * worth.on_time
+    for item in counted:
+        value = values_by_route[item.route]
+        weight = _compute_weight(item.size, means.get(item.route, 0.0))
+        total += weight * value.on_time
         lost = losses.setdefault(item.route, collections.defaultdict(float))
-        lost[item.cause] += weight * _find_lost_worth(item.cause, worth)
+        lost[item.cause] += weight * _compute_lost_value(item.cause, value)
     return {
         route: {cause: lost / total for cause, lost in causes.items()}
         for route, causes in losses.items()
@@ -81,26 +82,28 @@
     }
 
 
-def _find_mean_sizes(
-    judged: abc.Iterable[loss_summary.JudgedRequest],
+def _compute_mean_sizes(
+    classified: abc.Iterable[outcome_summary.ClassifiedRequest],
 ) -> abc.Mapping[str, float]:
     sizes: dict[str, list[float]] = {}
-    for item in judged:
+    for item in classified:
         if item.size is not None:
             sizes.setdefault(item.route, []).append(item.size)
     return {route: statistics.fmean(found) for route, found in sizes.items()}
 
 
-def _find_weight(size: typing.Optional[float], mean: float) -> float:
+def _compute_weight(size: typing.Optional[float], mean: float) -> float:
     if size is None or not mean:
         return 1.0
-    weight = _FIXED_SHARE + (1 - _FIXED_SHARE) * size / mean
-    return min(_MOST_TIMES, weight)
+    weight = (
+        _SIZE_INDEPENDENT_SHARE + (1 - _SIZE_INDEPENDENT_SHARE) * size / mean
+    )
+    return min(_MAX_WEIGHT, weight)
 
 
-def _find_lost_worth(cause: str, worth: Worth) -> float:
-    if cause == loss_summary.Cause.IN_TIME:
+def _compute_lost_value(cause: str, value: AnswerValue) -> float:
+    if cause == outcome_summary.Cause.IN_TIME:
         return 0.0
-    if cause in _LATE:
-        return worth.on_time - worth.late
-    return worth.on_time
+    if cause in _LATE_CAUSES:
+        return value.on_time - value.late
+    return value.on_time
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
@@ -1,6 +1,6 @@
-"""Files in which operators declare resources.
+"""Parses the files in which operators declare resources.
 
-A file holds YAML documents, or JSON, which is YAML too::
+A file holds YAML documents; JSON is accepted because it is valid YAML::
 
     kind: service
     name: modelo-taller
@@ -8,8 +8,8 @@
       kind: model
       customers: ["*"]
 
-A ``base`` makes the write depend on a revision: 0 when the resource must not
-exist yet.
+With ``base`` the write succeeds only if the resource has that revision; 0
+means that it must not exist yet.
 """
 
 from collections import abc
@@ -44,10 +44,10 @@
 def parse_manifests(
     text: str, source: str
 ) -> expression.Result[abc.Sequence[Manifest], errors.Failure]:
-    """Return the resources in ``text``, or the first document's fault.
+    """Return the resources in ``text``, or the first problem found.
 
-    ``source`` names the file in the failure; nothing is taken from a file
-    of which one document is broken.
+    ``source`` names the file in the failure. If one document is invalid, no
+    resource of the file is returned.
     """
     manifests: list[Manifest] = []
     try:
@@ -67,5 +67,5 @@
             return _fail(place, checked.error.reason)
         manifests.append(manifest)
     if not manifests:
-        return _fail(source, "there is no document in it")
+        return _fail(source, "the file contains no document")
     return expression.Ok(manifests)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/operator_app.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/operator_app.py
@@ -1,4 +1,4 @@
-"""The operators' tools: commands that drive a deployment from outside."""
+"""The command line application with all operators' commands."""
 
 import typing
 
@@ -18,7 +18,7 @@
     no_args_is_help=True,
     pretty_exceptions_enable=False,
 )
-"""The tools."""
+"""Application that all operators' commands are registered with."""
 
 
 @app.callback()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators: apply, get, watch and delete."""
+"""The operators' commands for resources: apply, get, watch and delete."""
 
 from collections import abc
 import contextlib
@@ -18,12 +18,14 @@
 __all__ = ("register_operator_commands",)
 
 REFUSED: typing.Final = 1
-"""Exit code when a resource was refused."""
+"""Exit code if a resource was refused."""
 USAGE: typing.Final = 2
-"""Exit code when the command or a file is wrong."""
+"""Exit code if an argument is wrong, such as the path of a file."""
 UNFINISHED: typing.Final = 3
-"""Exit code when the outcome isn't known, or isn't in force, in time."""
+"""Exit code if the entries can't be asked, or if a write is not decided or not
+in force everywhere within the timeout."""
 _POLL_S: typing.Final = 0.5
+"""Interval between two polls, seconds."""
 _PLURALS: typing.Final = {
     "service": "services",
     "services": "services",
@@ -54,10 +56,10 @@
 Kind = typing.Annotated[
     str, typer.Argument(help="Either services or customers.")
 ]
-Within = typing.Annotated[
+Timeout = typing.Annotated[
     float,
     typer.Option(
-        "--within-s", min=0, help="Longest wait for an outcome, seconds."
+        "--within-s", min=0, help="Longest wait for the outcome, seconds."
     ),
 ]
 
@@ -66,7 +68,7 @@
 def _connect(
     entries: abc.Sequence[str], key: str
 ) -> abc.Iterator[administration_client.AdministrationClient]:
-    """Give a client, and end the command when no entry answers it."""
+    """Provide a client; print an error of the administration and exit."""
     with httpx.Client(trust_env=False) as client:
         try:
             yield administration_client.AdministrationClient(
@@ -87,11 +89,11 @@
     return _PLURALS[kind]
 
 
-def _settle(
+def _write_until_decided(
     write: abc.Callable[[str], administration_client.WriteAnswer],
     until: float,
 ) -> administration_client.WriteAnswer:
-    """Write until the outcome is known, always the same change."""
+    """Repeat a write, with the same change identifier, until it is decided."""
     change = administration_client.make_change_identifier()
     answer = write(change)
     while answer.state == "pending" and time.monotonic() < until:
@@ -103,7 +105,7 @@
 def _print_answer(
     place: str, answer: administration_client.WriteAnswer
 ) -> int:
-    """Print one line for a write, and return its exit code."""
+    """Print the outcome of a write, and return the exit code."""
     if answer.state == "accepted":
         typer.echo(
             f"{place} accepted, revision {answer.revision}, "
@@ -123,7 +125,7 @@
     change: str,
     until: float,
 ) -> int:
-    """Wait until a change is in force everywhere; return the exit code."""
+    """Wait until a change is in force everywhere, and return the exit code."""
     while True:
         found = client.read(f"changes/{change}").get("in_force")
         if found and found["n"] == found["of"] > 0:
@@ -142,11 +144,13 @@
     client: administration_client.AdministrationClient,
     manifest: manifests.Manifest,
     wait: bool,
-    within_s: float,
+    timeout_s: float,
 ) -> int:
     place = f"{manifest.kind}/{manifest.name}"
-    until = time.monotonic() + within_s
-    answer = _settle(lambda change: client.put(manifest, change), until)
+    until = time.monotonic() + timeout_s
+    answer = _write_until_decided(
+        lambda change: client.put(manifest, change), until
+    )
     code = _print_answer(place, answer)
     if code == 0 and wait:
         return _wait_in_force(client, place, answer.change, until)
@@ -175,23 +179,26 @@
             exists=True,
             dir_okay=False,
             readable=True,
-            help="File of YAML or JSON documents; may be repeated.",
+            help="File of YAML or JSON documents; can be repeated.",
         ),
     ],
     wait: typing.Annotated[
-        bool, typer.Option("--wait", help="Wait until in force everywhere.")
+        bool,
+        typer.Option(
+            "--wait", help="Wait until the change is in force everywhere."
+        ),
     ] = False,
-    within_s: Within = 60.0,
+    timeout_s: Timeout = 60.0,
 ) -> None:
-    """Declare the resources in files, in their order.
+    """Declare the resources in files, in the order of the files.
 
-    Prints for each whether it was accepted or refused. A file with a broken
-    document changes nothing. Exit code 1 tells that one was refused, 3 that
-    an outcome isn't known in time.
+    Prints for each resource whether it was accepted or refused. If a document
+    is invalid, nothing is changed. Exit code 1 means that a resource was
+    refused, 3 that an outcome was not known in time.
     """
     found = _read_files(file)
     with _connect(entry, key) as client:
-        codes = [_apply_one(client, row, wait, within_s) for row in found]
+        codes = [_apply_one(client, row, wait, timeout_s) for row in found]
     refused = REFUSED in codes
     raise typer.Exit(REFUSED if refused else max(codes))
 
@@ -205,7 +212,7 @@
     ] = None,
     output: typing.Annotated[
         typing.Literal["text", "json"],
-        typer.Option("--output", "-o", help="Form of the output."),
+        typer.Option("--output", "-o", help="Format of the output."),
     ] = "text",
 ) -> None:
     """Show the resources of a kind, or one of them."""
@@ -229,13 +236,15 @@
     kind: Kind,
     after: typing.Annotated[
         typing.Optional[int],
-        typer.Option("--after", min=0, help="Last revision already seen."),
+        typer.Option(
+            "--after", min=0, help="Last revision that was already seen."
+        ),
     ] = None,
 ) -> None:
-    """Print each change as a JSON line, and where it is in force.
+    """Print each change, and where it is in force, as a line of JSON.
 
-    A lost connection is opened again, at the next entry, from the last
-    revision that was seen.
+    After a lost connection the watch continues at the next entry, from the
+    last revision that was seen.
     """
     plural = _find_plural(kind)
     with _connect(entry, key) as client:
@@ -259,16 +268,18 @@
     name: typing.Annotated[str, typer.Argument(help="Name of the resource.")],
     base: typing.Annotated[
         int,
-        typer.Option("--base", min=-1, help="Revision it must have; -1 any."),
+        typer.Option(
+            "--base", min=-1, help="Revision that it must have; -1 for any."
+        ),
     ] = configuration.ANY_REVISION,
-    within_s: Within = 60.0,
+    timeout_s: Timeout = 60.0,
 ) -> None:
     """Delete a resource."""
     plural = _find_plural(kind)
     with _connect(entry, key) as client:
-        answer = _settle(
+        answer = _write_until_decided(
             lambda change: client.delete(plural, name, base, change),
-            time.monotonic() + within_s,
+            time.monotonic() + timeout_s,
         )
     code = _print_answer(f"{plural}/{name}", answer)
     raise typer.Exit(code)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/loss_summary.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/outcome_summary.py
@@ -1,9 +1,9 @@
-"""What became of all requests, by route and cause, from log lines.
+"""Classifies requests by how they ended, from log lines.
 
-A complaint of many callers is not explained by one request's way. This counts
-them all: which were answered in time, and for the others what kept them from
-it, as far as the lines of the entries and agents tell. Each request counts
-under one cause, the first that applies.
+When many callers complain, the timeline of a single request does not explain
+enough. This module counts all requests: those answered in time and, for the
+others, the reason, as far as the log lines of entries and agents show it.
+Each request is counted under exactly one cause, the first that applies.
 """
 
 import collections
@@ -14,68 +14,69 @@
 
 __all__ = (
     "Cause",
-    "JudgedRequest",
+    "ClassifiedRequest",
     "LeavingCounts",
+    "classify_requests",
     "count_causes",
     "count_leaving",
     "find_causes",
-    "list_judged",
-    "make_leaving_table",
-    "make_table",
+    "format_leaving_table",
+    "format_table",
 )
 
 _ANSWERED: typing.Final = "answered"
-_OUTPUT_WEIGHT: typing.Final = 10.0
-"""Prompt tokens that keep an engine as busy as one output token."""
-_OUT_OF_TIME: typing.Final = frozenset(("refused_504", "timeout"))
+_PROMPT_TOKENS_PER_OUTPUT_TOKEN: typing.Final = 10.0
+"""Prompt tokens that take an engine as much work as one output token."""
+_TIMEOUT_OUTCOMES: typing.Final = frozenset(("refused_504", "timeout"))
 
 
 class Cause:
-    """Names of what became of a request, as the table shows them."""
+    """How a request ended, in the words that the tables show."""
 
     IN_TIME: typing.Final = "in time"
-    UNDER_WAY: typing.Final = "under way as its entry ended"
+    UNFINISHED: typing.Final = "unfinished when its entry ended"
     ENTRY_STOPPED: typing.Final = "entry stopped"
-    TAKEN_LEAVING: typing.Final = "entry stopped, taken as it left"
-    REFUSED_LEAVING: typing.Final = "refused, entry about to stop"
+    STOPPED_LEAVING: typing.Final = "entry stopped, had been leaving"
+    """The entry accepted it although it had already been told to stop."""
+    REFUSED_LEAVING: typing.Final = "refused, entry was leaving"
     CALLER_LEFT: typing.Final = "caller left"
-    ENGINE_LEFT: typing.Final = "broken off, target had notice"
+    TARGET_LEAVING: typing.Final = "broken off, target was leaving"
     TARGET_LOST: typing.Final = "broken off, target lost"
-    TARGET_FAILED: typing.Final = "failed by the target"
-    NO_RETRY: typing.Final = "refused, no retry left"
+    SERVER_ERROR: typing.Final = "server error from the target"
+    NO_RETRY: typing.Final = "refused, retry budget spent"
     REFUSED: typing.Final = "refused"
-    LOST_ANSWER: typing.Final = "answer of the target lost"
-    NO_ANSWER: typing.Final = "no answer in its time"
-    LATE_MOVE: typing.Final = "late, paused in a move"
+    LOST_ANSWER: typing.Final = "answer from the target lost"
+    TIMED_OUT: typing.Final = "timed out"
+    LATE_MOVE: typing.Final = "late, paused during a move"
     LATE_PAUSE: typing.Final = "late, paused"
-    LATE_TRIES: typing.Final = "late, after failed tries"
-    LATE_FIRST: typing.Final = "late, waited for the target"
+    LATE_AFTER_FAILURE: typing.Final = "late, after a failed attempt"
+    LATE_START: typing.Final = "late, waited for the target"
 
 
 class LeavingCounts(typing.NamedTuple):
-    """What became of requests that came to entries told to stop."""
+    """Requests that reached entries which had been told to stop."""
 
-    taken: int = 0
-    """Requests that were taken."""
+    accepted: int = 0
+    """Requests that were accepted."""
     broken_off: int = 0
-    """Requests of these that outlasted their entry."""
+    """Accepted requests that were unfinished when their entry stopped."""
     refused: int = 0
-    """Requests that were refused, as not run."""
+    """Requests that were refused without being run."""
 
 
-class JudgedRequest(typing.NamedTuple):
-    """What became of one request at one entry."""
+class ClassifiedRequest(typing.NamedTuple):
+    """How one request ended at one entry."""
 
     route: str
     """Name of its route."""
     cause: str
-    """One of the causes."""
+    """One of the values of ``Cause``."""
     size: typing.Optional[float]
-    """What it asks of an engine, in prompt tokens; None if not told."""
+    """Work for an engine, in prompt tokens; None if the log has no size."""
 
 
 class _Request:
-    """The lines of one request at one entry."""
+    """The log lines of one request at one entry."""
 
     def __init__(self, name: str, host: str) -> None:
         self.name: typing.Final = name
@@ -95,42 +96,45 @@
 ) -> abc.Mapping[str, abc.Mapping[str, int]]:
     """Return the number of requests by route and cause.
 
-    Lines may be mixed, and in any order.
+    Lines may come from several processes, in any order.
     """
     counts: dict[str, collections.Counter[str]] = {}
-    for request, cause in _judge_requests(log_lines.sort_lines(texts)):
+    for request, cause in _pair_with_causes(log_lines.parse_sorted(texts)):
         counts.setdefault(request.route, collections.Counter())[cause] += 1
     return counts
 
 
-def list_judged(texts: abc.Iterable[str]) -> abc.Sequence[JudgedRequest]:
-    """Return what became of each request; lines may be in any order."""
+def classify_requests(
+    texts: abc.Iterable[str],
+) -> abc.Sequence[ClassifiedRequest]:
+    """Return how each request ended; lines may be in any order."""
     return [
-        JudgedRequest(request.route, cause, _find_size(request))
-        for request, cause in _judge_requests(log_lines.sort_lines(texts))
+        ClassifiedRequest(request.route, cause, _estimate_size(request))
+        for request, cause in _pair_with_causes(log_lines.parse_sorted(texts))
     ]
 
 
-def _find_size(request: _Request) -> typing.Optional[float]:
-    """Return its size as the entry knew it when it sent the request."""
+def _estimate_size(request: _Request) -> typing.Optional[float]:
+    """Return the size that the entry assumed when it sent the request."""
     sent = request.find("request_sent")
     if sent is None or "prompt_tokens" not in sent.fields:
         return None
     prompt = float(sent.fields["prompt_tokens"])
     output = float(sent.fields.get("likely_output_tokens") or 0)
-    return prompt + _OUTPUT_WEIGHT * output
+    return prompt + _PROMPT_TOKENS_PER_OUTPUT_TOKEN * output
 
 
 def find_causes(
     lines: abc.Sequence[log_lines.Line], name: str
 ) -> abc.Sequence[tuple[str, str]]:
-    """Return what became of one request, for each entry that had it.
+    """Return how one request ended at each entry that handled it.
 
-    Each is the entry's host and the cause; ``lines`` are in order of time.
+    Each item is the entry's host and the cause. ``lines`` must be sorted by
+    time.
     """
     return [
         (request.host, cause)
-        for request, cause in _judge_requests(lines)
+        for request, cause in _pair_with_causes(lines)
         if request.name == name
     ]
 
@@ -138,17 +142,17 @@
 def count_leaving(
     texts: abc.Iterable[str],
 ) -> abc.Mapping[str, LeavingCounts]:
-    """Return what leaving entries did with requests, by route."""
+    """Return what entries that had been told to stop did, by route."""
     counts: dict[str, LeavingCounts] = {}
-    for request, cause in _judge_requests(log_lines.sort_lines(texts)):
+    for request, cause in _pair_with_causes(log_lines.parse_sorted(texts)):
         decision = request.find("leaving_decision")
         if decision is None:
             continue
         known = counts.get(request.route, LeavingCounts())
         if decision.fields.get("is_taken"):
-            is_broken = cause == Cause.TAKEN_LEAVING
+            is_broken = cause == Cause.STOPPED_LEAVING
             known = known._replace(
-                taken=known.taken + 1,
+                accepted=known.accepted + 1,
                 broken_off=known.broken_off + is_broken,
             )
         else:
@@ -157,7 +161,7 @@
     return counts
 
 
-def _judge_requests(
+def _pair_with_causes(
     lines: abc.Sequence[log_lines.Line],
 ) -> abc.Iterator[tuple[_Request, str]]:
     leaving = {
@@ -165,11 +169,13 @@
         for line in lines
         if line.fields["event"] == "target_leaving"
     }
-    for request in _gather(lines):
+    for request in _group_by_request(lines):
         yield request, _find_cause(request, leaving)
 
 
-def _gather(lines: abc.Sequence[log_lines.Line]) -> abc.Iterable[_Request]:
+def _group_by_request(
+    lines: abc.Sequence[log_lines.Line],
+) -> abc.Iterable[_Request]:
     found: dict[tuple[str, str], _Request] = {}
     for line in lines:
         name = line.fields.get("request")
@@ -185,24 +191,24 @@
 def _find_cause(request: _Request, leaving: abc.Collection[str]) -> str:
     end = request.find("request_ended")
     if end is None:
-        return Cause.UNDER_WAY
+        return Cause.UNFINISHED
     outcome = str(end.fields.get("outcome", ""))
     if outcome == "entry_stopped":
         was_leaving = request.find("leaving_decision") is not None
-        return Cause.TAKEN_LEAVING if was_leaving else Cause.ENTRY_STOPPED
+        return Cause.STOPPED_LEAVING if was_leaving else Cause.ENTRY_STOPPED
     if outcome == "refused_leaving":
         return Cause.REFUSED_LEAVING
     if outcome == "caller_left":
         return Cause.CALLER_LEFT
-    if outcome in _OUT_OF_TIME:
-        return Cause.NO_ANSWER
+    if outcome in _TIMEOUT_OUTCOMES:
+        return Cause.TIMED_OUT
     if outcome == "broken_off":
-        is_noticed = _find_last_target(request) in leaving
-        return Cause.ENGINE_LEFT if is_noticed else Cause.TARGET_LOST
+        is_leaving = _find_last_target(request) in leaving
+        return Cause.TARGET_LEAVING if is_leaving else Cause.TARGET_LOST
     if outcome == _ANSWERED:
-        return _judge_answer(request, end)
+        return _find_cause_of_answered(request, end)
     if outcome == "refused_502":
-        # It may have run, with retries left or without.
+        # The target may have run it, whether or not retries were left.
         return Cause.LOST_ANSWER
     if request.find("retry_budget_spent") is not None:
         return Cause.NO_RETRY
@@ -216,26 +222,26 @@
     return ""
 
 
-def _judge_answer(request: _Request, end: log_lines.Line) -> str:
+def _find_cause_of_answered(request: _Request, end: log_lines.Line) -> str:
     if int(end.fields.get("status") or 0) >= 500:
-        return Cause.TARGET_FAILED
+        return Cause.SERVER_ERROR
     if not end.fields.get("late"):
         return Cause.IN_TIME
     if end.fields.get("late") == "pause":
         moved = request.find("generation_moved")
         return Cause.LATE_PAUSE if moved is None else Cause.LATE_MOVE
     if request.find("attempt_failed") is not None:
-        return Cause.LATE_TRIES
-    return Cause.LATE_FIRST
+        return Cause.LATE_AFTER_FAILURE
+    return Cause.LATE_START
 
 
-def make_table(
+def format_table(
     counts: abc.Mapping[str, abc.Mapping[str, int]],
     losses: typing.Optional[abc.Mapping[str, abc.Mapping[str, float]]] = None,
 ) -> abc.Sequence[str]:
     """Return the lines of a table, the most frequent causes first.
 
-    ``losses`` adds a column: the share of all worth that a cause took.
+    ``losses`` adds a column: the share of all value that a cause lost.
     """
     table = []
     for route, causes in sorted(counts.items()):
@@ -248,19 +254,20 @@
     return table
 
 
-def make_leaving_table(
+def format_leaving_table(
     counts: abc.Mapping[str, LeavingCounts],
 ) -> abc.Sequence[str]:
-    """Return the lines of a table with its head; none without counts."""
+    """Return the lines of a table with a header; none without counts."""
     if not counts:
         return []
-    head = f"{'at entries told to stop':24}" + "".join(
-        f" {name:>10}" for name in ("taken", "broken off", "refused")
+    head = f"{'at leaving entries':24}" + "".join(
+        f" {name:>10}" for name in ("accepted", "broken off", "refused")
     )
     return [
         head,
         *(
-            f"{route:24} {row.taken:10} {row.broken_off:10} {row.refused:10}"
+            f"{route:24} {row.accepted:10} {row.broken_off:10} "
+            f"{row.refused:10}"
             for route, row in sorted(counts.items())
         ),
     ]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/summary_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/summary_command.py
@@ -1,4 +1,4 @@
-"""The command ``gentianpoint summary``: what became of all requests."""
+"""The command ``gentianpoint summary``: counts how requests ended."""
 
 from collections import abc
 import pathlib
@@ -7,8 +7,8 @@
 import typer
 
 from gentianpoint_entry import log_lines
-from gentianpoint_entry import loss_summary
 from gentianpoint_entry import lost_worth
+from gentianpoint_entry import outcome_summary
 
 __all__ = ("register_summary_command",)
 
@@ -20,42 +20,44 @@
     def summary(
         files: typing.Annotated[
             typing.Optional[list[pathlib.Path]],
-            typer.Argument(help="Files with log lines; none for input."),
+            typer.Argument(
+                help="Files with log lines; standard input if none."
+            ),
         ] = None,
         worth: typing.Annotated[
             typing.Optional[list[str]],
             typer.Option(
                 metavar="ROUTE=ON_TIME[,LATE]",
-                help="What an answer of a route is worth in time, and late.",
+                help="Value of an answer on a route, in time and late.",
             ),
         ] = None,
     ) -> None:
-        """Count requests by route and by what kept them from being in time.
+        """Count requests by route and by why they were not answered in time.
 
-        With --worth, the last column is the share of all worth that the
-        cause took.
+        With --worth, the last column is the share of the total value that
+        was lost by the cause.
         """
-        worths = _parse_worths(worth or ())
-        texts = list(log_lines.open_texts(files))
-        counts = loss_summary.count_causes(texts)
-        leaving = loss_summary.count_leaving(texts)
-        losses = lost_worth.weigh_losses(
-            loss_summary.list_judged(texts), worths
+        values_by_route = _parse_answer_values(worth or ())
+        texts = list(log_lines.read_text_lines(files))
+        counts = outcome_summary.count_causes(texts)
+        leaving = outcome_summary.count_leaving(texts)
+        losses = lost_worth.compute_lost_shares(
+            outcome_summary.classify_requests(texts), values_by_route
         )
         for row in (
-            *loss_summary.make_table(counts, losses),
-            *loss_summary.make_leaving_table(leaving),
+            *outcome_summary.format_table(counts, losses),
+            *outcome_summary.format_leaving_table(leaving),
         ):
             typer.echo(row)
         if not counts:
-            typer.echo("no line tells of a request", err=True)
+            typer.echo("no log line mentions a request", err=True)
             raise typer.Exit(1)
 
 
-def _parse_worths(
+def _parse_answer_values(
     texts: abc.Iterable[str],
-) -> abc.Mapping[str, lost_worth.Worth]:
+) -> abc.Mapping[str, lost_worth.AnswerValue]:
     try:
-        return dict(lost_worth.parse_worth(text) for text in texts)
+        return dict(lost_worth.parse_answer_value(text) for text in texts)
     except ValueError as error:
         raise typer.BadParameter(str(error), param_hint="--worth") from error
