--- a/packages/gentianpoint-entry/features/load.feature
+++ b/packages/gentianpoint-entry/features/load.feature
@@ -34,7 +34,7 @@
     Then the error message contains <reason>
 
     Examples:
-      | text                              | reason  |
-      | {name: a, rate: many}             | rate    |
-      | {name: a, nonsense: 1}            | nonsense |
-      | [                                 | parsing |
+      | text                   | reason   |
+      | {name: a, rate: many}  | rate     |
+      | {name: a, nonsense: 1} | nonsense |
+      | [                      | parsing  |
--- a/packages/gentianpoint-entry/features/steps/summary_steps.py
+++ b/packages/gentianpoint-entry/features/steps/summary_steps.py
@@ -75,7 +75,7 @@
         _BUDGET_SPENT,
         end("refused_502", status=502),
     ],
-    "was cancelled by its caller": [_SENT, end("caller_left")],
+    "was abandoned by its caller": [_SENT, end("caller_left")],
 }
 
 
--- a/packages/gentianpoint-entry/features/summary.feature
+++ b/packages/gentianpoint-entry/features/summary.feature
@@ -2,31 +2,31 @@
 
   Scenario Outline: one request counts under one cause
     If many callers complain at once, reading the timeline of each request
-    takes too long, and the most frequent cause has to be known first.
+    takes an hour, and the most frequent cause has to be known first.
     Given log lines of a request that <behaviour>
     When the causes are counted
     Then one request of the route counts as "<cause>"
 
     Examples:
-      | behaviour                                      | cause                           |
-      | was answered in time                           | in time                         |
-      | was sent and has no end                        | unfinished when its entry ended |
-      | broke off after its target was leaving         | broken off, target was leaving  |
-      | broke off at a target that was not leaving     | broken off, target lost         |
-      | was answered by its target with 500            | server error from the target    |
-      | was refused with the retry budget spent        | refused, retry budget spent     |
-      | was refused as no target accepted it           | refused                         |
-      | lost its answer                                | answer from the target lost     |
-      | was late because of a pause                    | late, paused                    |
-      | was late because of a pause and had moved      | late, paused during a move      |
-      | was late from its start                        | late, waited for the target     |
-      | was late from its start after a failed attempt | late, after a failed attempt    |
-      | was unfinished when its entry stopped          | entry stopped                   |
-      | was accepted by a leaving entry and unfinished | entry stopped, had been leaving |
-      | was refused by a leaving entry                 | refused, entry was leaving      |
-      | had no answer by its deadline                  | timed out                       |
-      | lost its answer with the retry budget spent    | answer from the target lost     |
-      | was cancelled by its caller                    | caller left                     |
+      | behaviour                                      | cause                            |
+      | was answered in time                           | in time                          |
+      | was sent and has no end                        | unfinished when its entry ended  |
+      | broke off after its target was leaving         | broken off, target was leaving   |
+      | broke off at a target that was not leaving     | broken off, target lost          |
+      | was answered by its target with 500            | server error from the target     |
+      | was refused with the retry budget spent        | refused, retry budget spent      |
+      | was refused as no target accepted it           | refused                          |
+      | lost its answer                                | answer from the target lost      |
+      | was late because of a pause                    | late, paused                     |
+      | was late because of a pause and had moved      | late, paused during a move       |
+      | was late from its start                        | late, waited for the target      |
+      | was late from its start after a failed attempt | late, after a failed attempt     |
+      | was unfinished when its entry stopped          | entry stopped                    |
+      | was accepted by a leaving entry and unfinished | entry stopped, accepted too late |
+      | was refused by a leaving entry                 | refused, entry was leaving       |
+      | had no answer by its deadline                  | timed out                        |
+      | lost its answer with the retry budget spent    | answer from the target lost      |
+      | was abandoned by its caller                    | caller left                      |
 
   Scenario: a request identifier that was used at two entries
     A caller lost its first entry and sent the request again with the same
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/cli.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/cli.py
@@ -36,8 +36,8 @@
 
     def invoke(self, ctx: click.Context) -> typing.Any:
         """Run the command."""
-        tools = importlib.import_module(_OPERATOR_APP)
-        return tools.app([self.name, *ctx.args], prog_name="gentianpoint")
+        module = importlib.import_module(_OPERATOR_APP)
+        return module.app([self.name, *ctx.args], prog_name="gentianpoint")
 
 
 class _Commands(click.Group):
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/deploy_check.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/deploy_check.py
@@ -164,7 +164,7 @@
 
 def _check_host_number(role: _Fields) -> abc.Iterator[str]:
     if "share" in role and "count" in role:
-        yield "share and count can not both be given"
+        yield "share and count cannot both be given"
     share = role.get("share", 1.0)
     if not _is_number(share) or not 0 < share <= 1:
         yield "share must be above 0 and at most 1"
@@ -191,13 +191,13 @@
 
 def _check_hosts(roles: abc.Sequence[_Fields]) -> abc.Iterator[str]:
     for name in _HOST_CLASSES:
-        here = [role for role in roles if role.get("on") == name]
-        if len(here) > _MAX_ROLES_PER_HOST:
+        on_class = [role for role in roles if role.get("on") == name]
+        if len(on_class) > _MAX_ROLES_PER_HOST:
             yield (
-                f"{len(here)} roles are on {name}, "
+                f"{len(on_class)} roles are on {name}, "
                 f"at most {_MAX_ROLES_PER_HOST} can be"
             )
-        served = [item for role in here for item in _list_served(role)]
+        served = [item for role in on_class for item in _list_served(role)]
         for item in _CLIENT_KINDS:
             if served.count(item) > 1:
                 yield f"{served.count(item)} roles on {name} serve {item}"
@@ -223,14 +223,14 @@
 def _check_day(fields: _Fields) -> abc.Iterator[str]:
     if not isinstance(fields.get("name"), str):
         yield "the day has no name"
-    events_of_day = [
+    events = [
         item
         for group in ("plan", "faults")
         for item in _list_tables(fields.get(group))
     ]
-    if not events_of_day:
+    if not events:
         yield "the day has no plan and no faults"
-    for number, item in enumerate(events_of_day, 1):
+    for number, item in enumerate(events, 1):
         if not isinstance(item.get("kind"), str):
             yield f"event {number} has no kind"
         at = item.get("at")
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/explain_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/explain_command.py
@@ -14,6 +14,7 @@
 _NON_DETAIL_FIELDS: typing.Final = frozenset(
     ("event", "host", "number", "request", "severity", "timestamp")
 )
+"""Fields that are printed before the details or left out."""
 _PROCESS_NAME_FIELDS: typing.Final = ("target", "source", "peer", "address")
 """Fields that name a process; a line of another process belongs to a timeline
 if it names a process that the request's own lines name."""
@@ -124,9 +125,9 @@
         for name, value in fields.items()
         if name not in _NON_DETAIL_FIELDS and value not in ("", None)
     )
-    place = str(fields.get("host", "?"))
+    host = str(fields.get("host", "?"))
     number = fields.get("number", "")
-    return f"{line.timestamp} {place:20} {number} {fields['event']}: {details}"
+    return f"{line.timestamp} {host:20} {number} {fields['event']}: {details}"
 
 
 def register_explain_command(app: typer.Typer) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/load/runner.py
@@ -32,13 +32,13 @@
     deployment: pathlib.Path, entries: typing.Sequence[str], service: str
 ) -> callers.LoadTarget:
     try:
-        known = msgspec.json.decode(
+        decoded = msgspec.json.decode(
             deployment.read_bytes(), type=_DeploymentFile
         )
     except (OSError, msgspec.DecodeError) as error:
         raise typer.BadParameter(f"{deployment}: {error}") from error
-    urls = entries or [str(row["url"]) for row in known.entries]
-    keys = {row["name"]: row["key"] for row in known.customers}
+    urls = entries or [str(row["url"]) for row in decoded.entries]
+    keys = {row["name"]: row["key"] for row in decoded.customers}
     return callers.LoadTarget(urls, keys, service)
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
@@ -55,16 +55,16 @@
     except (yaml.YAMLError, RecursionError) as error:
         return _fail(source, " ".join(str(error).split()))
     for number, document in enumerate(documents, start=1):
-        place = f"{source}, document {number}"
+        location = f"{source}, document {number}"
         try:
             manifest = msgspec.convert(document, Manifest)
         except (msgspec.ValidationError, RecursionError) as error:
-            return _fail(place, str(error))
+            return _fail(location, str(error))
         checked = resource_rules.validate_specification(
             manifest.kind, manifest.spec
         )
         if checked.is_error():
-            return _fail(place, checked.error.reason)
+            return _fail(location, checked.error.reason)
         manifests.append(manifest)
     if not manifests:
         return _fail(source, "the file contains no document")
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
@@ -68,7 +68,7 @@
 def _connect(
     entries: abc.Sequence[str], key: str
 ) -> abc.Iterator[administration_client.AdministrationClient]:
-    """Provide a client; print an error of the administration and exit."""
+    """Provide a client; on an administration error, print it and exit."""
     with httpx.Client(trust_env=False) as client:
         try:
             yield administration_client.AdministrationClient(
@@ -91,52 +91,52 @@
 
 def _write_until_decided(
     write: abc.Callable[[str], administration_client.WriteAnswer],
-    until: float,
+    deadline: float,
 ) -> administration_client.WriteAnswer:
     """Repeat a write, with the same change identifier, until it is decided."""
     change = administration_client.make_change_identifier()
     answer = write(change)
-    while answer.state == "pending" and time.monotonic() < until:
+    while answer.state == "pending" and time.monotonic() < deadline:
         time.sleep(_POLL_S)
         answer = write(change)
     return answer
 
 
 def _print_answer(
-    place: str, answer: administration_client.WriteAnswer
+    resource: str, answer: administration_client.WriteAnswer
 ) -> int:
     """Print the outcome of a write, and return the exit code."""
     if answer.state == "accepted":
         typer.echo(
-            f"{place} accepted, revision {answer.revision}, "
+            f"{resource} accepted, revision {answer.revision}, "
             f"change {answer.change}"
         )
         return 0
     if answer.state == "refused":
-        typer.echo(f"{place} refused: {answer.reason}", err=True)
+        typer.echo(f"{resource} refused: {answer.reason}", err=True)
         return REFUSED
-    typer.echo(f"{place} pending, change {answer.change}", err=True)
+    typer.echo(f"{resource} pending, change {answer.change}", err=True)
     return UNFINISHED
 
 
 def _wait_in_force(
     client: administration_client.AdministrationClient,
-    place: str,
+    resource: str,
     change: str,
-    until: float,
+    deadline: float,
 ) -> int:
     """Wait until a change is in force everywhere, and return the exit code."""
     while True:
         found = client.read(f"changes/{change}").get("in_force")
         if found and found["n"] == found["of"] > 0:
-            typer.echo(f"{place} in force on {found['n']} of {found['of']}")
+            typer.echo(f"{resource} in force on {found['n']} of {found['of']}")
             return 0
-        if time.monotonic() >= until:
+        if time.monotonic() >= deadline:
             break
         time.sleep(_POLL_S)
     count = f"{found['n']} of {found['of']}" if found else "an unknown number"
     lagging = ", ".join(found["lagging"]) if found else ""
-    typer.echo(f"{place} in force on {count}, not on {lagging}", err=True)
+    typer.echo(f"{resource} in force on {count}, not on {lagging}", err=True)
     return UNFINISHED
 
 
@@ -146,14 +146,14 @@
     wait: bool,
     timeout_s: float,
 ) -> int:
-    place = f"{manifest.kind}/{manifest.name}"
-    until = time.monotonic() + timeout_s
+    resource = f"{manifest.kind}/{manifest.name}"
+    deadline = time.monotonic() + timeout_s
     answer = _write_until_decided(
-        lambda change: client.put(manifest, change), until
+        lambda change: client.put(manifest, change), deadline
     )
-    code = _print_answer(place, answer)
+    code = _print_answer(resource, answer)
     if code == 0 and wait:
-        return _wait_in_force(client, place, answer.change, until)
+        return _wait_in_force(client, resource, answer.change, deadline)
     return code
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/outcome_summary.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/outcome_summary.py
@@ -36,8 +36,8 @@
     IN_TIME: typing.Final = "in time"
     UNFINISHED: typing.Final = "unfinished when its entry ended"
     ENTRY_STOPPED: typing.Final = "entry stopped"
-    STOPPED_LEAVING: typing.Final = "entry stopped, had been leaving"
-    """The entry accepted it although it had already been told to stop."""
+    ACCEPTED_LEAVING: typing.Final = "entry stopped, accepted too late"
+    """The entry accepted it after it had been told to stop."""
     REFUSED_LEAVING: typing.Final = "refused, entry was leaving"
     CALLER_LEFT: typing.Final = "caller left"
     TARGET_LEAVING: typing.Final = "broken off, target was leaving"
@@ -96,7 +96,7 @@
 ) -> abc.Mapping[str, abc.Mapping[str, int]]:
     """Return the number of requests by route and cause.
 
-    Lines may come from several processes, in any order.
+    Lines may come from several processes and be in any order.
     """
     counts: dict[str, collections.Counter[str]] = {}
     for request, cause in _pair_with_causes(log_lines.parse_sorted(texts)):
@@ -148,16 +148,16 @@
         decision = request.find("leaving_decision")
         if decision is None:
             continue
-        known = counts.get(request.route, LeavingCounts())
+        updated = counts.get(request.route, LeavingCounts())
         if decision.fields.get("is_taken"):
-            is_broken = cause == Cause.STOPPED_LEAVING
-            known = known._replace(
-                accepted=known.accepted + 1,
-                broken_off=known.broken_off + is_broken,
+            is_broken_off = cause == Cause.ACCEPTED_LEAVING
+            updated = updated._replace(
+                accepted=updated.accepted + 1,
+                broken_off=updated.broken_off + is_broken_off,
             )
         else:
-            known = known._replace(refused=known.refused + 1)
-        counts[request.route] = known
+            updated = updated._replace(refused=updated.refused + 1)
+        counts[request.route] = updated
     return counts
 
 
@@ -195,7 +195,7 @@
     outcome = str(end.fields.get("outcome", ""))
     if outcome == "entry_stopped":
         was_leaving = request.find("leaving_decision") is not None
-        return Cause.STOPPED_LEAVING if was_leaving else Cause.ENTRY_STOPPED
+        return Cause.ACCEPTED_LEAVING if was_leaving else Cause.ENTRY_STOPPED
     if outcome == "refused_leaving":
         return Cause.REFUSED_LEAVING
     if outcome == "caller_left":
@@ -245,10 +245,10 @@
     """
     table = []
     for route, causes in sorted(counts.items()):
-        asked = sum(causes.values())
+        total = sum(causes.values())
         ranked = sorted(causes.items(), key=lambda item: (-item[1], item[0]))
         for cause, number in ranked:
-            row = f"{route:24} {cause:32} {number:7} {number / asked:6.1%}"
+            row = f"{route:24} {cause:32} {number:7} {number / total:6.1%}"
             lost = (losses or {}).get(route, {}).get(cause)
             table.append(row if lost is None else f"{row} {lost:7.2%}")
     return table
