--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -17,7 +17,7 @@
 from gentianpoint_entry import administration_state
 from gentianpoint_entry import change_answers
 from gentianpoint_entry import change_writer
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 
 __all__ = ("Watchers",)
 
@@ -53,7 +53,7 @@
 
     def is_compacted(self) -> bool:
         """Tell whether changes after the watcher's place are forgotten."""
-        return self._cursor < self._state.tail.state.find_oldest_watchable()
+        return self._cursor < self._state.tail.state.find_oldest_watch_offset()
 
     async def write_lines(self) -> abc.AsyncGenerator[bytes, None]:
         """Yield lines until the watcher goes or has fallen behind."""
@@ -136,7 +136,9 @@
             if found.of and found.n == found.of:
                 self._stop_counting(offset)
 
-    def _write_count(self, offset: int, found: status_board.InForce) -> bytes:
+    def _write_count(
+        self, offset: int, found: status_tracker.InForce
+    ) -> bytes:
         return _encode_line(
             "in_force",
             {
