--- a/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/operator_commands.py
@@ -18,7 +18,8 @@
 __all__ = ("register_operator_commands",)
 
 REFUSED: typing.Final = 1
-"""Exit code if a resource was refused."""
+"""Exit code if a resource was refused, a document is invalid or a watch can't
+continue since its revision was compacted."""
 USAGE: typing.Final = 2
 """Exit code if an argument is wrong, such as the path of a file."""
 UNFINISHED: typing.Final = 3
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/outcome_summary.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/outcome_summary.py
@@ -56,7 +56,7 @@
 class LeavingCounts(typing.NamedTuple):
     """Requests that reached entries which had been told to stop."""
 
-    accepted: int = 0
+    taken: int = 0
     """Requests that were accepted."""
     broken_off: int = 0
     """Accepted requests that were unfinished when their entry stopped."""
@@ -152,7 +152,7 @@
         if decision.fields.get("is_taken"):
             is_broken_off = cause == Cause.ACCEPTED_LEAVING
             updated = updated._replace(
-                accepted=updated.accepted + 1,
+                taken=updated.taken + 1,
                 broken_off=updated.broken_off + is_broken_off,
             )
         else:
@@ -261,13 +261,12 @@
     if not counts:
         return []
     head = f"{'at leaving entries':24}" + "".join(
-        f" {name:>10}" for name in ("accepted", "broken off", "refused")
+        f" {name:>10}" for name in ("taken", "broken off", "refused")
     )
     return [
         head,
         *(
-            f"{route:24} {row.accepted:10} {row.broken_off:10} "
-            f"{row.refused:10}"
+            f"{route:24} {row.taken:10} {row.broken_off:10} {row.refused:10}"
             for route, row in sorted(counts.items())
         ),
     ]
