--- a/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/manifests.py
@@ -1,6 +1,6 @@
-"""Files in which operators declare resources.
+"""Parses the files in which operators declare resources.
 
-A file holds YAML documents, or JSON, which is YAML too::
+A file holds YAML documents; JSON is accepted because it is valid YAML::
 
     kind: service
     name: modelo-taller
@@ -8,8 +8,8 @@
       kind: model
       customers: ["*"]
 
-A ``base`` makes the write depend on a revision: 0 when the resource must not
-exist yet.
+With ``base`` the write succeeds only if the resource has that revision; 0
+means that it must not exist yet.
 """
 
 from collections import abc
@@ -44,10 +44,10 @@
 def parse_manifests(
     text: str, source: str
 ) -> expression.Result[abc.Sequence[Manifest], errors.Failure]:
-    """Return the resources in ``text``, or the first document's fault.
+    """Return the resources in ``text``, or the first problem found.
 
-    ``source`` names the file in the failure; nothing is taken from a file
-    of which one document is broken.
+    ``source`` names the file in the failure. If one document is invalid, no
+    resource of the file is returned.
     """
     manifests: list[Manifest] = []
     try:
@@ -55,17 +55,17 @@
     except (yaml.YAMLError, RecursionError) as error:
         return _fail(source, " ".join(str(error).split()))
     for number, document in enumerate(documents, start=1):
-        place = f"{source}, document {number}"
+        location = f"{source}, document {number}"
         try:
             manifest = msgspec.convert(document, Manifest)
         except (msgspec.ValidationError, RecursionError) as error:
-            return _fail(place, str(error))
+            return _fail(location, str(error))
         checked = resource_rules.validate_specification(
             manifest.kind, manifest.spec
         )
         if checked.is_error():
-            return _fail(place, checked.error.reason)
+            return _fail(location, checked.error.reason)
         manifests.append(manifest)
     if not manifests:
-        return _fail(source, "there is no document in it")
+        return _fail(source, "the file contains no document")
     return expression.Ok(manifests)
