--- a/packages/gentianpoint-entry/features/steps/configuration_tail_steps.py
+++ b/packages/gentianpoint-entry/features/steps/configuration_tail_steps.py
@@ -1,4 +1,4 @@
-"""Steps for changes that are written as a silent log returns."""
+"""Steps for changes that are written during or after a log outage."""
 
 import collections
 import itertools
@@ -7,76 +7,75 @@
 from structlog import testing
 import tail_builders
 
-_ORDERS = 12
-"""Seeds that are tried; three others have six orders."""
-_BEGINS_S = (5.0, 5.7, 6.4)
+_SEEDS = 12
+"""Number of random seeds tried; three peers have six possible orders."""
+_OUTAGE_STARTS_S = (5.0, 5.7, 6.4)
 
 
 @behave.given(
-    "a log service that is silent for up to {longest_s:d} seconds"
-    " from any moment"
+    "log outages of up to {longest_s:d} seconds that begin at different times"
 )
-def make_silences(context, longest_s):
+def make_outages(context, longest_s):
     lengths = [tenth / 10 for tenth in range(0, longest_s * 10, 2)]
-    context.silences = [
-        (begins_at, begins_at + length)
-        for begins_at, length in itertools.product(_BEGINS_S, lengths)
+    context.outages = [
+        (start_at, start_at + length)
+        for start_at, length in itertools.product(_OUTAGE_STARTS_S, lengths)
     ]
 
 
 @behave.when("an entry follows the configuration")
 def follow(context):
     with testing.capture_logs():
-        context.lateness = [
-            (tail_builders.measure_lateness_ms(*silence), silence)
-            for silence in context.silences
+        context.delays = [
+            (tail_builders.measure_outage_delay_ms(*outage), outage)
+            for outage in context.outages
         ]
 
 
 @behave.then(
-    "what is written as the log returns is in force within {within_ms:d} ms"
+    "a change written as the outage ends is in force within {within_ms:d} ms"
 )
-def check_lateness(context, within_ms):
-    worst = max(context.lateness)
+def check_delay(context, within_ms):
+    worst = max(context.delays)
     assert worst[0] <= within_ms, worst
 
 
-@behave.given("a log service that one entry alone can't reach")
+@behave.given("an entry that alone can't reach the log service")
 def lose_log(context):
-    context.lateness = []
+    context.delays = []
 
 
 @behave.given(
-    "{silent:d} other entries that are silent and {knowing:d} that has the"
-    " change"
+    "{silent:d} other entries that don't answer and {up_to_date:d} that has"
+    " the change"
 )
-def set_others(context, silent, knowing):
-    context.others = (silent, knowing)
+def set_peers(context, silent, up_to_date):
+    context.peers = (silent, up_to_date)
 
 
 @behave.when(
-    "the entry follows the configuration, with each order of the others"
+    "the entry follows the configuration, with each order of its peers"
 )
-def follow_alone(context):
-    with testing.capture_logs() as context.lines:
-        context.lateness = [
-            (tail_builders.measure_alone_ms(*context.others, seed), seed)
-            for seed in range(_ORDERS)
+def follow_with_peers(context):
+    with testing.capture_logs() as context.events:
+        context.delays = [
+            (tail_builders.measure_peer_delay_ms(*context.peers, seed), seed)
+            for seed in range(_SEEDS)
         ]
 
 
-@behave.then("what is written meanwhile is in force within {within_ms:d} ms")
-def check_alone(context, within_ms):
-    check_lateness(context, within_ms)
+@behave.then("a change written meanwhile is in force within {within_ms:d} ms")
+def check_peer_delay(context, within_ms):
+    check_delay(context, within_ms)
 
 
-@behave.then("there is one line for each silent entry that was asked")
-def check_lines(context):
-    silent, _ = context.others
-    named = collections.Counter(
+@behave.then("one event is logged for each unanswering entry that was asked")
+def check_logged_events(context):
+    silent, _ = context.peers
+    counted = collections.Counter(
         line["peer"]
-        for line in context.lines
+        for line in context.events
         if line["event"] == "peer_records_unavailable"
     )
-    expected = {f"silent-{number}": _ORDERS for number in range(silent)}
-    assert named == expected, named
+    expected = {f"silent-{number}": _SEEDS for number in range(silent)}
+    assert counted == expected, counted
--- a/packages/gentianpoint-entry/features/tail_builders.py
+++ b/packages/gentianpoint-entry/features/tail_builders.py
@@ -1,4 +1,4 @@
-"""A log service that is silent for a while, behind its HTTP adapter."""
+"""Simulates an entry whose log service stops answering for some time."""
 
 import base64
 from collections import abc
@@ -22,89 +22,94 @@
 
 __all__ = ()
 
-_ANSWER_S: typing.Final = 0.004
-_READ_ON_S: typing.Final = 20.0
+_LATENCY_S: typing.Final = 0.004
+"""Latency of an answer, seconds."""
+_GIVE_UP_AFTER_S: typing.Final = 20.0
+"""Time after which a change that is not in force counts as lost, seconds."""
 _LOST_AT_S: typing.Final = 5.0
-_CHANGE: typing.Final = 2
-"""Offset of the change that is to be in force."""
-_KNOWING: typing.Final = "knowing"
-"""The other entry that has it."""
+"""Virtual time at which the entry alone loses the log, seconds."""
+_CHANGE_OFFSET: typing.Final = 2
+"""Offset of the change whose delay is measured."""
+_UP_TO_DATE: typing.Final = "up-to-date"
+"""Address of the other entry that has the change."""
 
 
 class SilentLogTransport(httpx.AsyncBaseTransport):
-    """Answers readings, except those that meet the log's silence.
+    """A log that leaves reads unanswered during an outage.
 
-    As a real connection does, it gives up after the client's own timeout.
+    Like a real connection, it raises an error after the client's timeout.
     """
 
-    def __init__(self, silent_from: float, silent_until: float) -> None:
-        """Be silent between two moments of the virtual clock."""
-        self._silent_from: typing.Final = silent_from
-        self._silent_until: typing.Final = silent_until
-        self._count = 1
+    def __init__(self, outage_start: float, outage_end: float) -> None:
+        """Answer nothing between two times of the virtual clock."""
+        self._outage_start: typing.Final = outage_start
+        self._outage_end: typing.Final = outage_end
+        self._record_count = 1
         self._written = trio.Event()
 
     def write(self) -> None:
-        """Append one record to the configuration."""
-        self._count += 1
+        """Append one record to the configuration stream."""
+        self._record_count += 1
         self._written.set()
 
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Answer one reading."""
+        """Answer one read, or time out if it overlaps the outage."""
         began_at = trio.current_time()
-        if not self._meets_silence(began_at):
+        if not self._overlaps_outage(began_at):
             await self._wait_for_records(request)
-        if self._meets_silence(began_at):
+        if self._overlaps_outage(began_at):
             await trio.sleep(request.extensions["timeout"]["read"])
             raise httpx.ReadTimeout("silent", request=request)
-        await trio.sleep(_ANSWER_S)
+        await trio.sleep(_LATENCY_S)
         start = int(request.url.params["from"])
         records = [
             {"offset": offset, "data": base64.b64encode(b"-").decode()}
-            for offset in range(start, self._count_of(request) + 1)
+            for offset in range(start, self._count_records(request) + 1)
         ]
         body = {
             "first": 1,
-            "next": self._count_of(request) + 1,
+            "next": self._count_records(request) + 1,
             "records": records,
         }
         return httpx.Response(200, json=body, request=request)
 
-    def _meets_silence(self, began_at: float) -> bool:
+    def _overlaps_outage(self, began_at: float) -> bool:
         now = trio.current_time()
-        return began_at < self._silent_until and now >= self._silent_from
+        return began_at < self._outage_end and now >= self._outage_start
 
-    def _count_of(self, request: httpx.Request) -> int:
-        is_ours = configuration.CONFIGURATION_STREAM in request.url.path
-        return self._count if is_ours else 0
+    def _count_records(self, request: httpx.Request) -> int:
+        is_configuration = (
+            configuration.CONFIGURATION_STREAM in request.url.path
+        )
+        return self._record_count if is_configuration else 0
 
     async def _wait_for_records(self, request: httpx.Request) -> None:
         params = request.url.params
-        if int(params["from"]) <= self._count_of(request):
+        if int(params["from"]) <= self._count_records(request):
             return
         with trio.move_on_after(int(params["wait_ms"]) / 1000):
             await self._written.wait()
 
 
 class _NoPeers:
-    async def ask(self, offset: int) -> peer_state.PeerAnswer:
+    async def fetch_newer_state(self, offset: int) -> peer_state.PeerAnswer:
         return peer_state.PeerAnswer(False, None)
 
 
 class _PeerTransport(httpx.AsyncBaseTransport):
-    """Other entries: one has the newest change, the rest are silent."""
+    """Other entries: one has the change, the others never answer."""
 
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        if request.url.host != _KNOWING:
+        if request.url.host != _UP_TO_DATE:
             await trio.sleep(request.extensions["timeout"]["read"])
             raise httpx.ReadTimeout("silent", request=request)
-        await trio.sleep(_ANSWER_S)
+        await trio.sleep(_LATENCY_S)
         state = configuration.Configuration()
-        state.apply_record(_CHANGE, b"-")
+        state.apply_record(_CHANGE_OFFSET, b"-")
         encoded = snapshots.encode_state(state.copy_state())
         return httpx.Response(
             200,
@@ -117,9 +122,9 @@
         )
 
 
-def _make_peers(silent: int, knowing: int) -> peer_state.PeerStateClient:
+def _make_peers(silent: int, up_to_date: int) -> peer_state.PeerStateClient:
     names = [f"silent-{number}" for number in range(silent)]
-    names += [_KNOWING] * knowing
+    names += [_UP_TO_DATE] * up_to_date
     others = [
         ports.Host(name, "entry", "", "", name, "centre", "live")
         for name in names
@@ -132,45 +137,47 @@
     )
 
 
-def measure_alone_ms(silent: int, knowing: int, seed: int) -> float:
-    """Return how long an entry without the log takes for a change.
+def measure_peer_delay_ms(silent: int, up_to_date: int, seed: int) -> float:
+    """Return the delay of a change at an entry that can't read the log.
 
-    Of the other entries ``knowing`` ones have it and ``silent`` ones don't
-    answer; ``seed`` gives the order in which they are drawn.
+    ``up_to_date`` other entries have the change and ``silent`` ones never
+    answer; ``seed`` determines the order in which they are asked. The delay
+    is infinite when the change doesn't arrive.
     """
     random.seed(seed)
-    # The virtual clock jumps while only a thread works.
-    with mock.patch.object(trio.to_thread, "run_sync", _run_here):
-        return _measure_ms(
-            _LOST_AT_S, math.inf, _LOST_AT_S, _make_peers(silent, knowing)
+    # The virtual clock would jump ahead while a worker thread runs.
+    with mock.patch.object(trio.to_thread, "run_sync", _run_without_thread):
+        return _measure_delay_ms(
+            _LOST_AT_S, math.inf, _LOST_AT_S, _make_peers(silent, up_to_date)
         )
 
 
-async def _run_here(
+async def _run_without_thread(
     function: abc.Callable[..., typing.Any], *args: typing.Any
 ) -> typing.Any:
     return function(*args)
 
 
-def measure_lateness_ms(silent_from: float, silent_until: float) -> float:
-    """Return how long after the log's return its newest change is in force.
+def measure_outage_delay_ms(outage_start: float, outage_end: float) -> float:
+    """Return the delay of a change that is written as an outage ends.
 
-    The change is written as the log returns, and no other entry helps.
+    No other entry has a state. The delay is infinite when the change
+    doesn't arrive.
     """
     peers = typing.cast("peer_state.PeerStateClient", _NoPeers())
-    return _measure_ms(silent_from, silent_until, silent_until, peers)
+    return _measure_delay_ms(outage_start, outage_end, outage_end, peers)
 
 
-def _measure_ms(
-    silent_from: float,
-    silent_until: float,
+def _measure_delay_ms(
+    outage_start: float,
+    outage_end: float,
     written_at: float,
     peers: peer_state.PeerStateClient,
 ) -> float:
-    took: list[float] = []
+    delays_ms: list[float] = []
 
     async def run() -> None:
-        transport = SilentLogTransport(silent_from, silent_until)
+        transport = SilentLogTransport(outage_start, outage_end)
         client = httpx.AsyncClient(transport=transport)
         tail = configuration_tail.ConfigurationTail(
             http_log.HttpLog("http://log", client), peers
@@ -179,11 +186,11 @@
             nursery.start_soon(tail.run)
             await trio.sleep_until(written_at)
             transport.write()
-            with trio.move_on_after(_READ_ON_S):
-                while tail.state.offset < _CHANGE:
+            with trio.move_on_after(_GIVE_UP_AFTER_S):
+                while tail.state.offset < _CHANGE_OFFSET:
                     await tail.wait_changed()
-                took.append((trio.current_time() - written_at) * 1000)
+                delays_ms.append((trio.current_time() - written_at) * 1000)
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return took[0] if took else math.inf
+    return delays_ms[0] if delays_ms else math.inf
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_tail.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_tail.py
@@ -1,9 +1,9 @@
 """Follows the configuration stream of the platform's log.
 
-The state comes from the newest snapshot in the log and the records after
-it. While the log can't be read, or when records expired before they were
-read here, it comes from another entry. Whatever brings it, the offset only
-grows: a configuration that was in force here never reverts.
+The state is built from the newest snapshot in the log and the records after
+it. While the log can't be read, or when records expired before this entry
+read them, the state is fetched from another entry. Whatever the source, the
+offset only grows: the configuration never reverts to an older one.
 """
 
 import typing
@@ -22,67 +22,77 @@
 
 __all__ = ("ConfigurationTail",)
 
-_BATCH: typing.Final = 500
-_WAIT_MS: typing.Final = 2000
-_FOLDED_AT_ONCE: typing.Final = 16
-_CALL_S: typing.Final = 5.5
-"""Time after which a reading is given up, the log's holding of it included. A
-reading that meets an outage is never answered, so a change that is written as
-the log returns waits for this and for a pause, and is to be in force within
-seven seconds."""
-_PAUSE_S: typing.Final = 0.3
-_STALE_MS: typing.Final = _WAIT_MS + 1500
-_PEERS_PAUSE_S: typing.Final = 1.0
-_STALE_TICK_S: typing.Final = 0.25
-_STARTING: typing.Final = "the configuration is being read"
+_BATCH_RECORDS: typing.Final = 500
+"""Most records that one read returns."""
+_LONG_POLL_MS: typing.Final = 2000
+"""Time for which the log may hold a read that finds no new record (long
+polling), milliseconds."""
+_RECORDS_AT_ONCE: typing.Final = 16
+"""Number of records that are applied before other tasks get to run."""
+_READ_TIMEOUT_S: typing.Final = 5.5
+"""Timeout of one read, long polling included, seconds. A read that is open
+when an outage begins is never answered. A change that is written as the log
+returns waits for this timeout and the retry pause, and has to be in force
+within seven seconds."""
+_RETRY_PAUSE_S: typing.Final = 0.3
+"""Pause before the log is read again after a failure, seconds."""
+_STALE_AFTER_MS: typing.Final = _LONG_POLL_MS + 1500
+"""Time without an answer of the log after which other entries are asked,
+milliseconds."""
+_PEER_PAUSE_S: typing.Final = 1.0
+"""Pause between two requests to other entries, seconds."""
+_STALE_CHECK_S: typing.Final = 0.25
+"""Time between two checks whether the log's last answer is too old,
+seconds."""
+_STARTING_REASON: typing.Final = "the configuration is being read"
 
 
 class ConfigurationTail:
-    """The configuration as this entry has folded it."""
+    """The configuration that this entry has read from the log."""
 
     def __init__(
         self, log: ports.Log, peers: peer_state.PeerStateClient
     ) -> None:
-        """Follow ``log``, and ask ``peers`` when it fails."""
+        """Follow ``log``, and ask ``peers`` when the log fails."""
         self.state = configuration.Configuration()
         self._log: typing.Final = log
         self._peers: typing.Final = peers
         self._available = True
         self._snapshot_read = False
-        self._expired_at = 0
-        self._in_hole = False
+        self._reported_gap_end = 0
+        self._has_gap = False
         self._log_behind = False
-        self._stale_at = deadlines.make_deadline(_STALE_MS)
-        self._unready_reason = _STARTING
+        self._stale_at = deadlines.make_deadline(_STALE_AFTER_MS)
+        self._unready_reason = _STARTING_REASON
         self._ready: typing.Final = trio.Event()
         self._changed = trio.Event()
 
     def is_ready(self) -> bool:
-        """Tell whether the configuration was whole once.
+        """Tell whether a complete configuration has been read.
 
-        Before that, an entry knows no customer and no service, and would
-        refuse callers whom others serve.
+        Until then, the entry knows only some of the customers and services,
+        or none, and would refuse callers that other entries serve.
         """
         return self._ready.is_set()
 
     def is_log_available(self) -> bool:
-        """Tell whether the log answered when it was last read."""
+        """Tell whether the last read of the log succeeded."""
         return self._available
 
     def explain_unready(self) -> str:
-        """Return why there is no configuration yet."""
+        """Return why no complete configuration has been read yet."""
         return self._unready_reason
 
     async def wait_ready(self) -> None:
-        """Wait until the configuration is whole."""
+        """Wait until a complete configuration has been read."""
         await self._ready.wait()
 
     async def wait_changed(self) -> None:
-        """Wait until another record is folded or another state taken."""
+        """Wait until a record is applied or the state is replaced."""
         await self._changed.wait()
 
     async def run(self) -> None:
-        """Fold records for ever, through outages of the log."""
+        """Apply records until cancelled, also through outages of the log."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_log)
             nursery.start_soon(self._follow_peers)
@@ -90,119 +100,120 @@
     async def _follow_log(self) -> None:
         while True:
             try:
-                await self._read_once()
+                await self._read_batch()
             except ports.PortError as error:
-                self._note_unavailable(error)
-                await trio.sleep(_PAUSE_S)
+                self._mark_log_unavailable(error)
+                await trio.sleep(_RETRY_PAUSE_S)
 
     async def _follow_peers(self) -> None:
-        """Ask other entries whenever the log has said nothing for a while.
+        """Ask other entries while the log's last answer is too old.
 
-        A connection to the log can go silent without an error. Waiting for
-        its timeout would leave a customer's revoked key in force here for
-        longer than a change may take, so others are asked before that.
+        A connection to the log can go silent without an error. If the entry
+        waited for the read to time out, a customer's revoked key would stay
+        valid here for longer than a change may take to come into force.
         """
         while True:
-            await trio.sleep(_STALE_TICK_S)
+            await trio.sleep(_STALE_CHECK_S)
             if self._stale_at.is_past():
-                await self._ask_peers()
-                await trio.sleep(_PEERS_PAUSE_S)
+                await self._fetch_from_peers()
+                await trio.sleep(_PEER_PAUSE_S)
 
-    async def _read_once(self) -> None:
+    async def _read_batch(self) -> None:
         if not self._snapshot_read:
-            await self._take_snapshot()
+            await self._load_snapshot()
             self._snapshot_read = True
         start = self.state.offset + 1
-        piece = await self._read_records(start)
-        self._note_available()
-        self._stale_at = deadlines.make_deadline(_STALE_MS)
-        # A peer's state may have come in the meantime: what counts is what
-        # is folded now.
-        if piece.first > self.state.offset + 1:
-            await self._bridge_hole(self.state.offset + 1, piece.first)
+        batch = await self._read_records(start)
+        self._mark_log_available()
+        self._stale_at = deadlines.make_deadline(_STALE_AFTER_MS)
+        # A state from a peer may have replaced the one that the read was
+        # based on, so compare with the current offset, not with start.
+        if batch.first > self.state.offset + 1:
+            await self._recover_from_gap(self.state.offset + 1, batch.first)
             return
-        self._in_hole = False
-        self._note_end(start, piece.next)
-        for record in piece.records:
-            self._fold(record)
-            # A batch takes up to 0.1 s, and streams must not stall as long.
-            if not record.offset % _FOLDED_AT_ONCE:
+        self._has_gap = False
+        self._check_log_end(start, batch.next)
+        for record in batch.records:
+            self._apply_record(record)
+            # Applying a whole batch takes up to 0.1 s, which would stall
+            # the token streams of this process.
+            if not record.offset % _RECORDS_AT_ONCE:
                 await trio.sleep(0)
-        if piece.records:
-            self._announce()
-        if self.state.offset + 1 >= piece.next:
+        if batch.records:
+            self._notify_changed()
+        if self.state.offset + 1 >= batch.next:
             self._ready.set()
 
     async def _read_records(self, start: int) -> ports.LogSlice:
-        """Read from offset ``start`` on, within the time of one call.
+        """Read the records from offset ``start`` on, with a timeout.
 
-        While the log is away it isn't asked to hold the reading, so that one
-        that is slow has nearly all of the time for its answer.
+        Long polling is off while the log is unavailable, so that a slow log
+        has nearly the whole timeout for its answer.
         """
-        may_hold = self.is_ready() and self._available
-        with trio.move_on_after(_CALL_S):
+        may_wait = self.is_ready() and self._available
+        with trio.move_on_after(_READ_TIMEOUT_S):
             return await self._log.read_records(
                 configuration.CONFIGURATION_STREAM,
                 start,
-                _BATCH,
-                _WAIT_MS if may_hold else 0,
+                _BATCH_RECORDS,
+                _LONG_POLL_MS if may_wait else 0,
             )
         raise ports.PortError(
             "read configuration", "log", "no answer in time", took_effect=False
         )
 
-    async def _bridge_hole(self, wanted: int, first: int) -> None:
-        """Take a state from elsewhere, since records are gone.
+    async def _recover_from_gap(self, wanted: int, first: int) -> None:
+        """Load a snapshot, since records from ``wanted`` on expired.
 
-        Folding on behind the hole would accept and refuse other writes than
-        everyone else did, and no one would notice.
+        Applying the records after the gap would accept and refuse other
+        changes than the other entries did, without any error.
         """
-        if self._expired_at != first:
-            self._expired_at = first
+        if self._reported_gap_end != first:
+            self._reported_gap_end = first
             logs.log_event(events.RECORDS_EXPIRED, wanted=wanted, first=first)
-        self._in_hole = not await self._take_snapshot()
-        if not self._in_hole:
+        self._has_gap = not await self._load_snapshot()
+        if not self._has_gap:
             return
         self._stale_at = deadlines.make_deadline(0)
         self._unready_reason = (
             f"records from {wanted} to {first - 1} expired, and neither a "
             "snapshot nor another entry has their outcome"
         )
-        await trio.sleep(_PAUSE_S)
+        await trio.sleep(_RETRY_PAUSE_S)
 
-    async def _take_snapshot(self) -> bool:
-        """Take a newer snapshot from the log; tell whether there was one."""
+    async def _load_snapshot(self) -> bool:
+        """Load a newer snapshot from the log; tell whether there was one."""
         state = await snapshot_store.read_newer_state(
             self._log, self.state.offset
         )
         if state is None:
             return False
-        self._adopt(state)
+        self._replace_state(state)
         logs.log_event(events.SNAPSHOT_LOADED, offset=state.offset)
         return True
 
-    async def _ask_peers(self) -> None:
-        """Take a newer state from a peer, if one has it."""
-        answer = await self._peers.ask(self.state.offset)
+    async def _fetch_from_peers(self) -> None:
+        """Replace the state by a newer one of a peer, if a peer has one."""
+        answer = await self._peers.fetch_newer_state(self.state.offset)
         if answer.state is not None:
-            self._adopt(answer.state)
+            self._replace_state(answer.state)
             logs.log_event(events.STATE_FROM_PEER, offset=self.state.offset)
-        if answer.heard and not self._in_hole:
+        if answer.answered and not self._has_gap:
             self._ready.set()
 
-    def _adopt(self, state: configuration.Configuration) -> None:
+    def _replace_state(self, state: configuration.Configuration) -> None:
         if state.offset > self.state.offset:
             self.state = state
-            self._in_hole = False
+            self._has_gap = False
             garbage_collection.freeze_live_objects()
-            self._announce()
+            self._notify_changed()
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         logs.log_event(events.CONFIGURATION_APPLIED, offset=self.state.offset)
         self._changed.set()
         self._changed = trio.Event()
 
-    def _fold(self, record: ports.LogRecord) -> None:
+    def _apply_record(self, record: ports.LogRecord) -> None:
         outcome = self.state.apply_record(record.offset, record.data)
         if outcome is None:
             return
@@ -218,10 +229,12 @@
             reason=outcome.reason,
         )
         if outcome.accepted:
-            self._note_ignored(outcome)
+            self._log_ignored_fields(outcome)
 
-    def _note_ignored(self, outcome: configuration.ChangeOutcome) -> None:
-        """Tell which fields of a resource this version does not read."""
+    def _log_ignored_fields(
+        self, outcome: configuration.ChangeOutcome
+    ) -> None:
+        """Log the fields of a resource that this version does not read."""
         resource = self.state.find_resource(outcome.kind, outcome.name)
         if resource is None:
             return
@@ -235,11 +248,11 @@
                 field=field,
             )
 
-    def _note_end(self, start: int, end: int) -> None:
-        """Tell once when the log ends below what is in force.
+    def _check_log_end(self, start: int, end: int) -> None:
+        """Log once that the log ends before the offset in force.
 
-        The configuration never goes back, so nothing of such a log is
-        folded, and without this line operators would see their writes stay
+        The configuration never reverts, so no record of such a log is
+        applied. Without this event, operators would see their changes stay
         pending and not learn why.
         """
         behind = end < start
@@ -247,12 +260,12 @@
             logs.log_event(events.LOG_BEHIND, offset=start - 1, next=end)
         self._log_behind = behind
 
-    def _note_available(self) -> None:
+    def _mark_log_available(self) -> None:
         if not self._available:
             self._available = True
             logs.log_event(events.LOG_AVAILABLE)
 
-    def _note_unavailable(self, error: ports.PortError) -> None:
+    def _mark_log_unavailable(self, error: ports.PortError) -> None:
         self._unready_reason = f"the log can't be read: {error.reason}"
         if self._available:
             logs.log_event(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/garbage_collection.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/garbage_collection.py
@@ -1,4 +1,4 @@
-"""Keeps the garbage collector from stalling streams."""
+"""Keeps garbage collections from stalling token streams."""
 
 import gc
 
@@ -6,13 +6,13 @@
 
 
 def freeze_live_objects() -> None:
-    """Let the collector pass over all objects that live now.
+    """Exclude all objects that live now from garbage collections.
 
-    A configuration of 48,000 customers is hundreds of thousands of objects
-    that stay. Each full collection looks at all of them and stops every
-    stream of the process meanwhile, which callers would see as a pause
-    between tokens. None of them is part of a cycle, so all are still freed
-    when they are dropped. Called around the decoding of a whole state, which
-    is what brings full collections about.
+    A configuration of 48,000 customers consists of hundreds of thousands of
+    long-lived objects. Each full collection traverses all of them and stops
+    every stream of the process meanwhile, which callers see as a pause
+    between tokens. None of the objects is part of a reference cycle, so they
+    are still freed by reference counting. Called before and after a whole
+    state is decoded, because the decoding triggers full collections.
     """
     gc.freeze()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/peer_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/peer_state.py
@@ -1,4 +1,4 @@
-"""The configuration from another entry, when the log does not give it."""
+"""Fetches the configuration from other entries when the log fails."""
 
 import random
 import typing
@@ -24,27 +24,29 @@
 )
 
 STATE_PATH: typing.Final = "/peer/v1/state"
-"""Path at which an entry gives its state to another."""
+"""Path at which an entry serves its configuration to other entries."""
 OFFSET_HEADER: typing.Final = "Gentianpoint-State-Offset"
 """Header with the configuration offset of the state in the body."""
 DIGEST_HEADER: typing.Final = "Gentianpoint-State-Digest"
 """Header with the SHA-256 digest in hex of the uncompressed state."""
 _ANSWER_TIMEOUT_S: typing.Final = 5.0
 _ASKED_AT_ONCE: typing.Final = 3
+"""Number of entries that are asked at the same time."""
 _NOTHING_NEWER: typing.Final = 204
+"""HTTP status of an entry that has no state above the given offset."""
 
 
 class PeerAnswer(typing.NamedTuple):
-    """What the asked entries said."""
+    """The result of asking one or several entries."""
 
-    heard: bool
-    """True when one with a configuration answered."""
+    answered: bool
+    """True when an entry with a complete configuration answered."""
     state: typing.Optional[configuration.Configuration]
-    """A state above one's own offset; None when none has one."""
+    """A state above the given offset; None when no entry has one."""
 
 
 class PeerStateClient:
-    """Asks other entries for their folded state."""
+    """Asks other entries for their configuration state."""
 
     def __init__(
         self,
@@ -52,45 +54,45 @@
         client: httpx.AsyncClient,
         peer_key: str,
     ) -> None:
-        """Find entries in ``hosts`` and show them ``peer_key``."""
+        """Ask the entries in ``hosts``, authenticated by ``peer_key``."""
         self._hosts: typing.Final = hosts
         self._client: typing.Final = client
         self._peer_key: typing.Final = peer_key
-        self._refused: typing.Final[dict[str, str]] = {}
+        self._logged_reasons: typing.Final[dict[str, str]] = {}
 
-    async def ask(self, offset: int) -> PeerAnswer:
-        """Ask some entries for a state above ``offset``.
+    async def fetch_newer_state(self, offset: int) -> PeerAnswer:
+        """Ask a few other entries for a state above ``offset``.
 
         They are chosen at random, so that many entries which start during
-        an outage don't all ask the same one.
+        an outage don't all ask the same ones.
         """
         others = self._hosts.list_other_entries()
         asked = random.sample(others, min(_ASKED_AT_ONCE, len(others)))
         answers: list[PeerAnswer] = []
         async with trio.open_nursery() as nursery:
-            # One after the other, each that is silent would put off the one
-            # that knows a change by the whole time of an answer.
+            # Concurrently: asked one after the other, each silent entry
+            # would delay the answer of the others by its whole timeout.
             for host in asked:
                 nursery.start_soon(
-                    self._note_answer, host, offset, answers, nursery
+                    self._collect_answer, host, offset, answers, nursery
                 )
         state = next((item.state for item in answers if item.state), None)
-        return PeerAnswer(any(item.heard for item in answers), state)
+        return PeerAnswer(any(item.answered for item in answers), state)
 
-    async def _note_answer(
+    async def _collect_answer(
         self,
         host: ports.Host,
         offset: int,
         answers: list[PeerAnswer],
         nursery: trio.Nursery,
     ) -> None:
-        """Add one entry's answer; a newer state ends the asking of others."""
-        answer = await self._ask_one(host, offset)
+        """Add one entry's answer; cancel the others at a newer state."""
+        answer = await self._fetch_from(host, offset)
         answers.append(answer)
         if answer.state is not None:
             nursery.cancel_scope.cancel()
 
-    async def _ask_one(self, host: ports.Host, offset: int) -> PeerAnswer:
+    async def _fetch_from(self, host: ports.Host, offset: int) -> PeerAnswer:
         try:
             answer = await self._client.get(
                 f"http://{host.address}{STATE_PATH}",
@@ -99,11 +101,13 @@
                 timeout=_ANSWER_TIMEOUT_S,
             )
         except httpx.HTTPError as error:
-            return self._miss(host, repr(error))
+            return self._report_unavailable(host, repr(error))
         if answer.status_code == _NOTHING_NEWER:
             return PeerAnswer(True, None)
         if answer.status_code != 200:
-            return self._miss(host, f"status {answer.status_code}")
+            return self._report_unavailable(
+                host, f"status {answer.status_code}"
+            )
         return await self._check_state(host, offset, answer)
 
     async def _check_state(
@@ -117,31 +121,35 @@
             host.host,
         )
         if result.is_error():
-            return self._refuse(host, result.error.reason)
+            return self._report_refused(host, result.error.reason)
         state = result.ok
         if str(state.offset) != answer.headers.get(OFFSET_HEADER):
-            return self._refuse(host, "the offset is not that of the state")
+            return self._report_refused(
+                host, "the offset is not that of the state"
+            )
         if state.offset <= offset:
-            # A configuration never reverts: a peer that was paused, or that
-            # another log feeds, must not take this entry back.
-            return self._refuse(
+            # The configuration must not revert to that of a peer that was
+            # suspended or that follows another log.
+            return self._report_refused(
                 host, f"its offset {state.offset} is not above {offset}"
             )
         return PeerAnswer(True, state)
 
-    def _miss(self, host: ports.Host, reason: str) -> PeerAnswer:
-        return self._fail(events.PEER_RECORDS_UNAVAILABLE, host, reason)
+    def _report_unavailable(self, host: ports.Host, reason: str) -> PeerAnswer:
+        return self._report_failure(
+            events.PEER_RECORDS_UNAVAILABLE, host, reason
+        )
 
-    def _refuse(self, host: ports.Host, reason: str) -> PeerAnswer:
-        return self._fail(events.STATE_REFUSED, host, reason)
+    def _report_refused(self, host: ports.Host, reason: str) -> PeerAnswer:
+        return self._report_failure(events.STATE_REFUSED, host, reason)
 
-    def _fail(
+    def _report_failure(
         self, event: events.Event, host: ports.Host, reason: str
     ) -> PeerAnswer:
-        # One line for each reason is enough: an entry that can't get ready
-        # asks every second.
-        if self._refused.get(host.host) != reason:
-            self._refused[host.host] = reason
+        # Logged once per reason: an entry that can't become ready asks
+        # every second.
+        if self._logged_reasons.get(host.host) != reason:
+            self._logged_reasons[host.host] = reason
             logs.log_event(
                 event,
                 step="take state from peer",
