--- a/packages/gentianpoint-entry/features/settings.feature
+++ b/packages/gentianpoint-entry/features/settings.feature
@@ -1,9 +1,9 @@
-Feature: Settings are checked at start
-  A mistyped setting that a process starts with shows itself only under load
-  or in an outage. The process ends instead, with exit code 2, and names the
-  flag, the variable and the reason.
+Feature: Settings are validated at start
+  If a process started with a mistyped setting, the mistake would show only
+  under load or in an outage. So the process exits with code 2, and names the
+  flag, the environment variable and the reason.
 
-  Scenario: wrong values of the entry's settings
+  Scenario: invalid values of the entry's settings
     When an entry is started with these settings
       | flag                   | value        | reason                    |
       | --listen               | localhost:80 | no IP number with port    |
@@ -19,18 +19,18 @@
       | --log-level            | loud         | is not one of             |
       | --operator-key-hash    | the-key      | no SHA-256 digest         |
       | --placement            | best         | is not one of             |
-    Then each run ends with 2 and names the flag and the reason
+    Then each exits with code 2 and names the flag and the reason
 
-  Scenario: wrong values in the environment
+  Scenario: invalid values in the environment
     When an entry is started with these variables
       | variable                         | flag                   | value | reason |
       | GENTIANPOINT_LISTEN              | --listen               | x     | no IP number with port |
       | GENTIANPOINT_HEARTBEAT_MS        | --heartbeat-ms         | 0     | not in the range 50<=x<=60000 |
       | GENTIANPOINT_SNAPSHOT_INTERVAL_MS | --snapshot-interval-ms | soon | a valid integer |
       | GENTIANPOINT_LOG_LEVEL           | --log-level            | loud  | is not one of |
-    Then each run ends with 2 and names the flag and the reason
+    Then each exits with code 2 and names the flag and the reason
 
-  Scenario: settings that are missing
+  Scenario: required settings are missing
     When an entry is started without these settings
       | flag                |
       | --name              |
@@ -39,4 +39,4 @@
       | --hosts-url         |
       | --peer-key          |
       | --operator-key-hash |
-    Then each run ends with 2 and names the flag and the reason
+    Then each exits with code 2 and names the flag and the reason
--- a/packages/gentianpoint-entry/features/settings_builders.py
+++ b/packages/gentianpoint-entry/features/settings_builders.py
@@ -1,4 +1,4 @@
-"""Builders of settings, and runs of the entry that end at once."""
+"""Builds settings, and runs entries that end because of them."""
 
 from collections import abc
 import os
@@ -11,16 +11,16 @@
 
 
 class Run(typing.NamedTuple):
-    """A run that ended."""
+    """The result of an entry process."""
 
     code: int
-    """Its exit code."""
+    """Exit code of the process."""
     output: str
-    """What it printed, as one line."""
+    """Its output as one line."""
 
 
 def make_settings() -> dict[str, str]:
-    """Return the settings without which no entry starts."""
+    """Return the settings that an entry requires."""
     return {
         "--name": "entry-1",
         "--data-centre": "zona-norte",
@@ -32,7 +32,7 @@
 
 
 def run_entry(settings: abc.Mapping[str, str], **variables: str) -> Run:
-    """Run an entry whose settings end it, and return how it ended."""
+    """Run an entry that its settings keep from starting."""
     flags = [text for pair in settings.items() for text in pair]
     done = subprocess.run(
         [str(COMMAND), "entry", *flags],
--- a/packages/gentianpoint-entry/features/shutdown_builders.py
+++ b/packages/gentianpoint-entry/features/shutdown_builders.py
@@ -1,4 +1,4 @@
-"""A dispatcher whose one agent is connected and answers nothing."""
+"""Builds a dispatcher with one connected agent that never answers."""
 
 import types
 import typing
@@ -17,7 +17,7 @@
 __all__ = ("IDENTIFIER", "make_dispatcher", "make_request")
 
 IDENTIFIER: typing.Final = "agent-1~run-1~1~secret"
-"""A generation of the agent."""
+"""Identifier of a generation that the agent holds."""
 _WELCOME: typing.Final[messages.Welcome] = {
     "type": "welcome",
     "version": codec.PROTOCOL_VERSION,
@@ -37,12 +37,12 @@
 }
 
 
-class _MuteConnection:
+class _UnansweredConnection:
     async def send(self, message: codec.MessageMap) -> None:
-        """Take a message that is never answered."""
+        """Accept a message without ever answering it."""
 
 
-class _FirstLink(placement_policy.PlacementPolicy):
+class _FirstLinkPolicy(placement_policy.PlacementPolicy):
     def choose(
         self,
         candidates: typing.Sequence[agent_links.AgentLink],
@@ -52,23 +52,23 @@
 
 
 def make_dispatcher() -> dispatch.Dispatcher:
-    """Return the dispatcher of an entry with the silent agent only."""
+    """Return a dispatcher that knows only the unresponsive agent."""
     link = link_builders.make_link("agent-1", "north")
     link.welcome = _WELCOME
-    link._connection = typing.cast(typing.Any, _MuteConnection())
+    link._connection = typing.cast(typing.Any, _UnansweredConnection())
     pool = types.SimpleNamespace(
         list_links=lambda service: [link],
         find_target=lambda target, incarnation="": link,
     )
     return dispatch.Dispatcher(
-        typing.cast(link_pool.LinkPool, pool), _FirstLink(), 64
+        typing.cast(link_pool.LinkPool, pool), _FirstLinkPolicy(), 64
     )
 
 
 def make_request(
     repeatable: bool, generation: str = ""
 ) -> call_requests.CallRequest:
-    """Return a request without deadlines."""
+    """Return a request that has no deadlines."""
     return call_requests.CallRequest(
         "request-1",
         "service",
--- a/packages/gentianpoint-entry/features/shutdown_limits.feature
+++ b/packages/gentianpoint-entry/features/shutdown_limits.feature
@@ -1,17 +1,17 @@
-Feature: Waits that end when the time of a shutdown is over
-  An entry that was told to stop waits for its open calls, up to a limit. Its
-  connections are cut soon after that.
+Feature: Waiting calls get an answer when the shutdown time is over
+  An entry that is stopped waits for its open calls, up to a time limit. It
+  closes its connections soon after the limit.
 
-  Scenario Outline: a caller waits for <what> as the time is over
-  Guards against a caller that sees its connection reset, from which it can't
-  tell whether its request ran, and against "not run" where it may have run.
+  Scenario Outline: a caller waits for <what> as the shutdown time ends
+  Guards against a connection reset, from which a caller can't tell whether
+  its request ran, and against "not run" for a request that may have run.
 
-    Given an entry whose agent answers nothing
+    Given an entry whose agent never answers
     When a caller waits for <what>
-    Then the entry counts it as open
-    And at the end of its time it is told <code>
-    And the entry counts nothing as open
-    And one that comes later is told <later> at once
+    Then the entry counts the call as open
+    And the caller gets <code> when the shutdown time is over
+    And the entry counts no call as open
+    And a later call gets <later> at once
 
     Examples:
       | what                          | code            | later           |
--- a/packages/gentianpoint-entry/features/steps/settings_steps.py
+++ b/packages/gentianpoint-entry/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for settings."""
+"""Steps for settings that keep an entry from starting."""
 
 from concurrent import futures
 import functools
@@ -7,52 +7,51 @@
 import settings_builders
 
 
-def run_all(context, starts):
-    """Run entries, a few at a time, and keep how each ended."""
+def run_all(context, cases):
+    """Run the entries, three at a time, and record the results."""
     with futures.ThreadPoolExecutor(3) as pool:
         jobs = [
-            (pool.submit(start), flag, reason)
-            for start, flag, reason in starts
+            (pool.submit(start), flag, reason) for start, flag, reason in cases
         ]
         context.runs = [(job.result(), *rest) for job, *rest in jobs]
 
 
 @behave.when("an entry is started with these settings")
 def start_with_settings(context):
-    starts = []
+    cases = []
     for row in context.table:
         settings = settings_builders.make_settings()
         settings[row["flag"]] = row["value"]
         start = functools.partial(settings_builders.run_entry, settings)
-        starts.append((start, row["flag"], row["reason"]))
-    run_all(context, starts)
+        cases.append((start, row["flag"], row["reason"]))
+    run_all(context, cases)
 
 
 @behave.when("an entry is started with these variables")
 def start_with_variables(context):
-    starts = []
+    cases = []
     for row in context.table:
         start = functools.partial(
             settings_builders.run_entry,
             settings_builders.make_settings(),
             **{row["variable"]: row["value"]},
         )
-        starts.append((start, row["flag"], row["reason"]))
-    run_all(context, starts)
+        cases.append((start, row["flag"], row["reason"]))
+    run_all(context, cases)
 
 
 @behave.when("an entry is started without these settings")
 def start_without_settings(context):
-    starts = []
+    cases = []
     for row in context.table:
         settings = settings_builders.make_settings()
         del settings[row["flag"]]
         start = functools.partial(settings_builders.run_entry, settings)
-        starts.append((start, row["flag"], "Missing option"))
-    run_all(context, starts)
+        cases.append((start, row["flag"], "Missing option"))
+    run_all(context, cases)
 
 
-@behave.then("each run ends with 2 and names the flag and the reason")
+@behave.then("each exits with code 2 and names the flag and the reason")
 def check_runs(context):
     for run, flag, reason in context.runs:
         assert run.code == 2, (flag, run)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/__init__.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry package."""
+"""The entry: accepts calls and dispatches them to agents."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
@@ -1,4 +1,4 @@
-"""The administration API: operators declare, list, watch and delete."""
+"""HTTP routes of the administration API for resources and changes."""
 
 from collections import abc
 import typing
@@ -26,12 +26,12 @@
     change_answers.PENDING: 202,
     change_answers.REFUSED: 409,
 }
-_PAGE: typing.Final = 500
+_MAX_PAGE_ITEMS: typing.Final = 500
 _RETRY_AFTER_S: typing.Final = 1
 _JSON_LINES: typing.Final = "application/x-ndjson"
 
 
-def _find_kind(plural: str) -> typing.Any:
+def _parse_kind(plural: str) -> typing.Any:
     kind = _KINDS.get(plural)
     if kind is None:
         raise change_writer.make_refusal(
@@ -66,32 +66,33 @@
         action: change_writer.Action, plural: str, name: str
     ) -> quart.Response:
         body = _read_body(await request_options.read_body())
-        change = await writer.write(action, _find_kind(plural), name, body)
+        change = await writer.write(action, _parse_kind(plural), name, body)
         return _answer_change(change_answers.describe_change(change))
 
     @routes.get("/v1/<plural>")
     async def list_resources(plural: str) -> quart.Response:
-        kind = _find_kind(plural)
+        kind = _parse_kind(plural)
         arguments = quart.request.args
-        limit = request_options.read_limit(arguments, _PAGE)
-        # Sorting tens of thousands of customers here would stall streams.
-        copy = state.tail.state.copy_state()
+        limit = request_options.read_limit(arguments, _MAX_PAGE_ITEMS)
+        # Sorted in a thread: sorting tens of thousands of customers in the
+        # event loop would stall token streams.
+        snapshot = state.tail.state.copy_state()
         page = await trio.to_thread.run_sync(
             configuration.list_page,
-            copy,
+            snapshot,
             kind,
             arguments.get("after_name", ""),
             limit,
         )
         rows = [change_answers.describe_resource(item) for item in page]
-        following = page[-1].name if len(page) == limit else ""
+        next_name = page[-1].name if len(page) == limit else ""
         return change_answers.make_json_answer(
-            {"revision": copy.offset, "items": rows, "next": following}
+            {"revision": snapshot.offset, "items": rows, "next": next_name}
         )
 
     @routes.get("/v1/<plural>/<name>")
     async def get_resource(plural: str, name: str) -> quart.Response:
-        item = state.tail.state.find_resource(_find_kind(plural), name)
+        item = state.tail.state.find_resource(_parse_kind(plural), name)
         if item is None:
             raise change_writer.make_refusal(
                 f"there is no {plural}/{name}", 404
@@ -127,9 +128,9 @@
         row = change_answers.describe_change(found)
         body: dict[str, object] = dict(row)
         if row["state"] == change_answers.ACCEPTED:
-            await state.board.wait_read()
+            await state.tracker.wait_first_read()
             body["in_force"] = change_answers.describe_in_force(
-                state.board.count_in_force(row["revision"])
+                state.tracker.count_in_force(row["revision"])
             )
         return change_answers.make_json_answer(body)
 
@@ -141,7 +142,7 @@
             after = request_options.read_after(arguments)
         kind = ""
         if "kind" in arguments:
-            kind = _find_kind(arguments["kind"])
+            kind = _parse_kind(arguments["kind"])
         answer = quart.Response(
             watchers.open_watch(after, kind), content_type=_JSON_LINES
         )
@@ -152,7 +153,7 @@
 def make_administration_routes(
     state: administration_state.AdministrationState,
 ) -> quart.Blueprint:
-    """Return the routes under ``/admin/v1``."""
+    """Return the routes under ``/admin/v1``, open to operators only."""
     routes = quart.Blueprint("administration", __name__, url_prefix="/admin")
 
     @routes.before_request
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_state.py
@@ -1,4 +1,4 @@
-"""What the routes of operators share."""
+"""State that the administration routes share."""
 
 import typing
 
@@ -11,15 +11,15 @@
 
 
 class AdministrationState(typing.NamedTuple):
-    """The configuration, the log and what is known of other hosts."""
+    """The configuration, the log and the status of the hosts."""
 
     operator_key_hash: str
     """SHA-256 digest in hex of the operators' bearer key."""
     tail: configuration_tail.ConfigurationTail
-    """The configuration here."""
+    """The configuration of this entry."""
     log: ports.Log
-    """Log that takes the writes."""
-    board: status_tracker.StatusTracker
-    """Where changes are in force."""
+    """Log to which changes are appended."""
+    tracker: status_tracker.StatusTracker
+    """Tracks on which hosts a change is in force."""
     pending: pending_changes.PendingChanges
-    """Writes whose outcome isn't known here yet."""
+    """Changes whose outcome isn't known here yet."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/authentication.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/authentication.py
@@ -1,4 +1,4 @@
-"""Bearer keys of customers and operators."""
+"""Authenticates customers and operators by their bearer keys."""
 
 import hashlib
 import hmac
@@ -13,7 +13,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the digest under which a key is stored."""
+    """Return the SHA-256 digest in hex that is stored for a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -28,7 +28,7 @@
 def authenticate_customer(
     header: str, state: configuration.Configuration
 ) -> str:
-    """Return the customer whose key an Authorization header carries.
+    """Return the customer whose key is in an Authorization header.
 
     Raises :class:`errors.CallError` with ``unauthorized``.
     """
@@ -41,9 +41,9 @@
 
 
 def check_operator(header: str, operator_key_hash: str) -> None:
-    """Raise ``unauthorized`` unless the header carries the operators' key."""
-    given = _read_key_hash(header)
-    if not hmac.compare_digest(given, operator_key_hash):
+    """Raise ``unauthorized`` unless the header has the operators' key."""
+    key_hash = _read_key_hash(header)
+    if not hmac.compare_digest(key_hash, operator_key_hash):
         raise errors.CallError(
             errors.UNAUTHORIZED,
             "the key is no operator's",
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/caller_sockets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/caller_sockets.py
@@ -1,11 +1,11 @@
-"""Sockets on which callers connect, bounded in time and memory.
-
-A caller's device that sleeps, or whose network has lost the connection,
-takes nothing for good. The server would wait for it in a write without end,
-and hold its call, its tokens and the process's shutdown. The system gives
-such a connection up when sent bytes were not taken for a time, whether the
-caller's host is silent or has no room for them; one on which nothing is sent
-is probed. The server sees a reset then, and closes the call.
+"""Caller sockets with a send timeout, keepalive and a small send buffer.
+
+A caller whose device sleeps, or whose network lost the connection, may never
+read again. The server would block in a write for ever, keeping the call, its
+tokens and the process's shutdown waiting. So the kernel resets a connection
+on which sent bytes stay unacknowledged for some time, because the caller's
+host is silent or its receive window is full, and probes idle connections.
+After the reset the server closes the call.
 """
 
 import socket
@@ -15,34 +15,34 @@
 
 __all__ = ("CallerConfig",)
 
-_MS_IN_S: typing.Final = 1000
-_PROBES: typing.Final = 3
-# Left to itself the kernel lets a connection grow to megabytes of unread
-# tokens. This is some thousand tokens, and 20 MB/s at 3 ms one way.
-_SEND_BYTES: typing.Final = 64 * 1024
+_MS_PER_S: typing.Final = 1000
+_PROBE_COUNT: typing.Final = 3
+# The kernel's autotuned buffer would hold megabytes of unread tokens. This
+# size holds some thousand tokens, and allows 20 MB/s at 3 ms one-way delay.
+_SEND_BUFFER_BYTES: typing.Final = 64 * 1024
 
 
 class CallerConfig(hypercorn.config.Config):
-    """The server's configuration with bounded sockets."""
+    """Hypercorn's configuration, with options set on caller sockets."""
 
     silence_ms = 0
-    """Time for which a caller may take nothing, milliseconds; 0 for ever."""
+    """Longest time without progress of a caller, milliseconds; 0 for none."""
 
     def create_sockets(self) -> hypercorn.config.Sockets:
-        """Make the listening sockets; accepted ones inherit the bounds."""
+        """Create the listening sockets; accepted ones inherit the options."""
         sockets = super().create_sockets()
         for listener in sockets.insecure_sockets:
-            self._bound(listener)
+            self._set_options(listener)
         return sockets
 
-    def _bound(self, listener: socket.socket) -> None:
-        probe_s = max(1, self.silence_ms // _MS_IN_S // _PROBES)
+    def _set_options(self, listener: socket.socket) -> None:
+        probe_s = max(1, self.silence_ms // _MS_PER_S // _PROBE_COUNT)
         for level, option, value in (
-            (socket.SOL_SOCKET, socket.SO_SNDBUF, _SEND_BYTES),
+            (socket.SOL_SOCKET, socket.SO_SNDBUF, _SEND_BUFFER_BYTES),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
             (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, probe_s),
             (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, probe_s),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBE_COUNT),
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.silence_ms),
         ):
             listener.setsockopt(level, option, value)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -1,9 +1,10 @@
-"""Lines that an operator who watches gets, one JSON object each.
+"""The stream of changes that an operator watches, one JSON object a line.
 
-A watcher has a place in the order of changes and reads the fold from there;
-nothing is queued for it. One that reads slowly falls behind, and when it has
-fallen behind what is kept it is told so and starts again from a list. So a
-slow watcher costs its connection and no memory.
+A watcher has a cursor into the changes that the configuration keeps; nothing
+is queued for it. A watcher that reads slowly falls behind. Once changes after
+its cursor are no longer kept, its stream ends with a ``compacted`` line, and
+it has to list the resources again. So a slow watcher uses a connection, but
+no memory for its backlog.
 """
 
 from collections import abc
@@ -24,8 +25,9 @@
 _COMPACTED_CODE: typing.Final = "compacted"
 _COMPACTED_STATUS: typing.Final = 410
 _HEARTBEAT_S: typing.Final = 3.0
-_MOST_WATCHERS: typing.Final = 64
-_MOST_COUNTED: typing.Final = 64
+_MAX_WATCHERS: typing.Final = 64
+_MAX_TRACKED: typing.Final = 64
+"""Number of changes per watcher whose progress on the hosts is reported."""
 _RETRY_AFTER_MS: typing.Final = 5000
 
 
@@ -34,7 +36,7 @@
 
 
 class _Watch:
-    """One watcher's place in the order of changes."""
+    """The stream of one watcher."""
 
     def __init__(
         self,
@@ -47,102 +49,104 @@
         self._writer: typing.Final = writer
         self._cursor = after
         self._kind: typing.Final = kind
-        self._pending: set[str] = set()
-        self._counted: typing.Final[dict[int, int]] = {}
-        self._changes: typing.Final[dict[int, str]] = {}
+        self._reported_pending: set[str] = set()
+        self._tracked_counts: typing.Final[dict[int, int]] = {}
+        self._tracked_changes: typing.Final[dict[int, str]] = {}
 
     def is_compacted(self) -> bool:
-        """Tell whether changes after the watcher's place are forgotten."""
+        """Tell whether changes after the cursor are no longer kept."""
         return self._cursor < self._state.tail.state.find_oldest_watchable()
 
-    async def write_lines(self) -> abc.AsyncGenerator[bytes, None]:
-        """Yield lines until the watcher goes or has fallen behind."""
+    async def stream_lines(self) -> abc.AsyncGenerator[bytes, None]:
+        """Yield lines until the watcher disconnects or its cursor expires."""
         version = -1
-        yield self._write_heartbeat()
+        yield self._encode_heartbeat()
         while not self.is_compacted():
-            while version != self._state.board.version:
-                version = self._state.board.version
-                for line in self._write_news():
+            while version != self._state.tracker.version:
+                version = self._state.tracker.version
+                for line in self._encode_new_lines():
                     yield line
-            self._state.board.ask()
+            self._state.tracker.keep_following()
             with trio.move_on_after(_HEARTBEAT_S) as scope:
-                await self._state.board.wait_changed(version)
+                await self._state.tracker.wait_changed(version)
             if scope.cancelled_caught:
-                yield self._write_heartbeat()
+                yield self._encode_heartbeat()
         yield _encode_line(_COMPACTED_CODE, {"revision": self._cursor})
 
-    def _write_heartbeat(self) -> bytes:
+    def _encode_heartbeat(self) -> bytes:
         revision = self._state.tail.state.offset
         return _encode_line("heartbeat", {"revision": revision})
 
-    def _write_news(self) -> list[bytes]:
+    def _encode_new_lines(self) -> list[bytes]:
         return [
-            *self._write_pending(),
-            *self._write_outcomes(),
-            *self._write_in_force(),
+            *self._encode_pending(),
+            *self._encode_outcomes(),
+            *self._encode_in_force(),
         ]
 
-    def _is_wanted(self, kind: str) -> bool:
+    def _matches_kind(self, kind: str) -> bool:
         return self._kind in ("", kind)
 
-    def _write_pending(self) -> abc.Iterator[bytes]:
+    def _encode_pending(self) -> abc.Iterator[bytes]:
         rows = self._writer.list_pending()
         for row in rows:
-            if row.change not in self._pending and self._is_wanted(row.kind):
+            if row.change not in self._reported_pending and self._matches_kind(
+                row.kind
+            ):
                 yield _encode_line(
                     "change", change_answers.describe_change(row)
                 )
-        self._pending = {row.change for row in rows}
+        self._reported_pending = {row.change for row in rows}
 
-    def _write_outcomes(self) -> abc.Iterator[bytes]:
+    def _encode_outcomes(self) -> abc.Iterator[bytes]:
         for outcome in self._state.tail.state.list_outcomes():
             if outcome.offset <= self._cursor:
                 continue
             self._cursor = outcome.offset
-            if self._is_wanted(outcome.kind):
-                yield self._write_outcome(outcome)
+            if self._matches_kind(outcome.kind):
+                yield self._encode_outcome(outcome)
 
-    def _write_outcome(self, outcome: configuration.ChangeOutcome) -> bytes:
+    def _encode_outcome(self, outcome: configuration.ChangeOutcome) -> bytes:
         row: dict[str, typing.Any] = dict(
             change_answers.describe_change(outcome)
         )
         if outcome.accepted:
-            self._count_from_now(outcome)
+            self._track(outcome)
             found = self._state.tail.state.find_resource(
                 outcome.kind, outcome.name
             )
-            # A specification that a later change replaced is not kept; that
-            # change has a line of its own.
+            # A specification that a later change replaced is not kept; the
+            # later change is reported with its own.
             if found is not None and found.revision == outcome.offset:
                 row["spec"] = msgspec.json.decode(found.spec)
         return _encode_line("change", row)
 
-    def _count_from_now(self, outcome: configuration.ChangeOutcome) -> None:
-        self._counted[outcome.offset] = -1
-        self._changes[outcome.offset] = outcome.change
-        while len(self._counted) > _MOST_COUNTED:
-            self._stop_counting(next(iter(self._counted)))
-
-    def _stop_counting(self, offset: int) -> None:
-        del self._counted[offset]
-        del self._changes[offset]
-
-    def _write_in_force(self) -> abc.Iterator[bytes]:
-        for offset, counted in tuple(self._counted.items()):
-            found = self._state.board.count_in_force(offset)
-            if found.n != counted:
-                self._counted[offset] = found.n
-                yield self._write_count(offset, found)
+    def _track(self, outcome: configuration.ChangeOutcome) -> None:
+        self._tracked_counts[outcome.offset] = -1
+        self._tracked_changes[outcome.offset] = outcome.change
+        while len(self._tracked_counts) > _MAX_TRACKED:
+            self._untrack(next(iter(self._tracked_counts)))
+
+    def _untrack(self, offset: int) -> None:
+        del self._tracked_counts[offset]
+        del self._tracked_changes[offset]
+
+    def _encode_in_force(self) -> abc.Iterator[bytes]:
+        for offset, last_count in tuple(self._tracked_counts.items()):
+            found = self._state.tracker.count_in_force(offset)
+            if found.n != last_count:
+                self._tracked_counts[offset] = found.n
+                yield self._encode_count(offset, found)
             if found.of and found.n == found.of:
-                self._stop_counting(offset)
+                self._untrack(offset)
 
-    def _write_count(
+    def _encode_count(
         self, offset: int, found: status_tracker.InForce
     ) -> bytes:
         return _encode_line(
             "in_force",
             {
-                "change": self._changes[offset],
+                "change": self._tracked_changes[offset],
                 "revision": offset,
                 **change_answers.describe_in_force(found),
             },
@@ -150,26 +154,27 @@
 
 
 class Watchers:
-    """The operators who watch through this entry; their number is bounded."""
+    """Opens streams for watching operators, up to a maximum number."""
 
     def __init__(
         self,
         state: administration_state.AdministrationState,
         writer: change_writer.ChangeWriter,
     ) -> None:
-        """Show the changes of ``state`` and the writes of ``writer``."""
+        """Report the changes of ``state`` and those pending in ``writer``."""
         self._state: typing.Final = state
         self._writer: typing.Final = writer
-        self._count = 0
+        self._open_count = 0
 
     def open_watch(
         self, after: int, kind: str
     ) -> abc.AsyncGenerator[bytes, None]:
         """Return the lines of a new watcher.
 
-        ``after`` is the last revision it has; a ``kind`` leaves out other
-        resources. Raises 410 ``compacted`` when changes after the revision
-        are forgotten, and ``not_run`` when there are too many watchers.
+        ``after`` is the last revision that the watcher has seen. ``kind``
+        limits the lines to resources of this kind; empty means all kinds.
+        Raises 410 ``compacted`` when changes after the revision are no
+        longer kept, and ``not_run`` when there are too many watchers.
         """
         watch = _Watch(self._state, self._writer, after, kind)
         if watch.is_compacted():
@@ -180,21 +185,21 @@
                 step="watch changes",
                 status=_COMPACTED_STATUS,
             )
-        if self._count >= _MOST_WATCHERS:
+        if self._open_count >= _MAX_WATCHERS:
             raise errors.CallError(
                 errors.NOT_RUN,
                 "this entry has too many watchers",
                 step="watch changes",
                 retry_after_ms=_RETRY_AFTER_MS,
             )
-        return self._count_while(watch)
+        return self._count_open(watch)
 
-    async def _count_while(
+    async def _count_open(
         self, watch: _Watch
     ) -> abc.AsyncGenerator[bytes, None]:
-        self._count += 1
+        self._open_count += 1
         try:
-            async for line in watch.write_lines():
+            async for line in watch.stream_lines():
                 yield line
         finally:
-            self._count -= 1
+            self._open_count -= 1
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry's process: its tasks, from start to graceful shutdown."""
+"""Runs the entry process: its tasks, from start to graceful shutdown."""
 
 import secrets
 import signal
@@ -51,29 +51,35 @@
 _INCARNATION_BYTES: typing.Final = 6
 _MAX_AGENT_MESSAGE_BYTES: typing.Final = 16 * 1024 * 1024
 _DRAIN_POLL_S: typing.Final = 0.05
-_LAST_ANSWERS_S: typing.Final = 0.3
-"""Time after the last call in which callers that go on to ask on its
-connection are told to close it; the server answers nothing on connections
-that outlast it."""
-_CLOSE_WITHIN_S: typing.Final = 2.0
-_HEAD_WITHIN_S: typing.Final = 5.0
-_BODY_WITHIN_S: typing.Final = 30.0
+_LINGER_S: typing.Final = 0.3
+"""Time between the end of the last call and the stop of the server, seconds.
+A request that arrives on a kept connection in this time gets an answer with
+"Connection: close"; after it, the server answers no request."""
+_CLOSE_TIMEOUT_S: typing.Final = 2.0
+"""Time for open connections to close once the server stops, seconds."""
+_HEAD_TIMEOUT_S: typing.Final = 5.0
+"""Timeout for the whole head of a request, seconds. It starts with the
+connection, or with the last answer on it."""
+_BODY_TIMEOUT_S: typing.Final = 30.0
+"""Timeout for the body of a request, seconds."""
 _CLIENT_LIMITS: typing.Final = httpx.Limits(
     max_connections=100, max_keepalive_connections=20
 )
 _HEALTH_PATH: typing.Final = "/health"
 _UNREADY_RETRY_MS: typing.Final = 1000
+"""Retry-After of calls that are refused before the entry is ready,
+milliseconds."""
 
 
 def _make_app(
-    state: entry_state.EntryState, board: status_tracker.StatusTracker
+    state: entry_state.EntryState, tracker: status_tracker.StatusTracker
 ) -> quart_trio.QuartTrio:
     app = quart_trio.QuartTrio(__name__)
     app.asgi_app = open_calls.CallCloser(  # type: ignore[method-assign]
         app.asgi_app
     )
     app.config["MAX_CONTENT_LENGTH"] = state.settings.max_body_bytes
-    app.config["BODY_TIMEOUT"] = _BODY_WITHIN_S
+    app.config["BODY_TIMEOUT"] = _BODY_TIMEOUT_S
     app.register_blueprint(generation_routes.make_generation_routes(state))
     app.register_blueprint(plain_routes.make_plain_routes(state))
     app.register_blueprint(
@@ -82,7 +88,7 @@
                 state.settings.operator_key_hash,
                 state.tail,
                 state.log,
-                board,
+                tracker,
                 pending_changes.PendingChanges(),
             )
         )
@@ -93,8 +99,8 @@
 
     @app.before_request
     async def refuse_until_ready() -> None:
-        # Without a configuration every customer's key looks unknown: callers
-        # would be told so, and would give up for good.
+        # Without a configuration every customer key is unknown. Callers
+        # would get "unauthorized", which they don't retry.
         if state.tail.is_ready() or quart.request.path == _HEALTH_PATH:
             return
         code = errors.NOT_RUN
@@ -125,7 +131,7 @@
         return error_answers.make_http_error_answer(error)
 
     @app.get(_HEALTH_PATH)
-    async def tell_health() -> quart.Response:
+    async def get_health() -> quart.Response:
         if state.leaving:
             return quart.Response("leaving\n", status=503)
         if not state.tail.is_ready():
@@ -138,21 +144,20 @@
 
 async def _serve_http(
     state: entry_state.EntryState,
-    board: status_tracker.StatusTracker,
+    tracker: status_tracker.StatusTracker,
     stop: trio.Event,
 ) -> None:
     config = caller_sockets.CallerConfig()
     config.silence_ms = state.settings.caller_silence_ms
     config.bind = [state.settings.listen]
-    config.graceful_timeout = _CLOSE_WITHIN_S
+    config.graceful_timeout = _CLOSE_TIMEOUT_S
     config.errorlog = None
     config.accesslog = None
-    # A caller that sends half a request's head and stops would hold its
-    # connection for ever; this long after the last answer, or its start, a
-    # connection without a whole head is closed.
-    config.keep_alive_timeout = _HEAD_WITHIN_S
+    # Closes the connection of a caller that stops within a request's head,
+    # which would otherwise stay open for ever.
+    config.keep_alive_timeout = _HEAD_TIMEOUT_S
     config.h11_max_incomplete_size = 64 * 1024
-    app = _make_app(state, board)
+    app = _make_app(state, tracker)
     await hypercorn.trio.serve(
         app,  # type: ignore[arg-type]
         config,
@@ -160,30 +165,31 @@
     )
 
 
-async def _watch_signals(told: trio.Event) -> None:
-    """Set ``told`` at the first signal to end, and take all further ones.
+async def _watch_signals(stop_requested: trio.Event) -> None:
+    """Set ``stop_requested`` at the first SIGTERM or SIGINT.
 
-    A signal that nobody takes would end the process with what still runs.
+    Later signals are handled too and ignored: an unhandled one would end the
+    process with its open calls.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            told.set()
+            stop_requested.set()
 
 
-async def _leave_when_told(
-    state: entry_state.EntryState, told: trio.Event, stop: trio.Event
+async def _shut_down_when_requested(
+    state: entry_state.EntryState, stop_requested: trio.Event, stop: trio.Event
 ) -> None:
-    """Finish what runs, then stop the server.
+    """Wait for open calls after a stop signal, then stop the server.
 
-    While calls run, new ones get a final answer that says when to come back;
-    the health check turns, so the balancer sends callers elsewhere. When the
-    time is over, callers without an answer are told that there is none.
+    Meanwhile new calls are refused with a Retry-After, and the health check
+    fails so that the load balancer sends callers to other entries. When the
+    shutdown time is over, calls without an answer get an error.
     """
-    await told.wait()
+    await stop_requested.wait()
     state.leaving = True
     logs.log_event(events.LEAVING_STARTED, reason="told to stop")
-    within_s = state.settings.shutdown_within_ms / 1000
-    with trio.move_on_after(within_s) as scope:
+    timeout_s = state.settings.shutdown_within_ms / 1000
+    with trio.move_on_after(timeout_s) as scope:
         while state.dispatcher.count_calls():
             await trio.sleep(_DRAIN_POLL_S)
     if scope.cancelled_caught:
@@ -191,12 +197,12 @@
             events.SHUTDOWN_OVERDUE, running=state.dispatcher.count_calls()
         )
     state.dispatcher.end_calls()
-    await trio.sleep(_LAST_ANSWERS_S)
+    await trio.sleep(_LINGER_S)
     stop.set()
 
 
 async def run_entry(settings: entry_settings.EntrySettings) -> None:
-    """Run the entry until it is told to stop and its calls have ended."""
+    """Run the entry until a stop signal, and until its calls have ended."""
     logs.configure_logs(settings.name, settings.log_level)
     telemetry.configure_telemetry(
         settings.name,
@@ -212,11 +218,11 @@
     ):
         incarnation = secrets.token_hex(_INCARNATION_BYTES)
         log = http_log.HttpLog(settings.log_url, client)
-        live = live_hosts.LiveHosts(settings.name)
-        peers = peer_state.PeerStateClient(live, client, settings.peer_key)
+        hosts = live_hosts.LiveHosts(settings.name)
+        peers = peer_state.PeerStateClient(hosts, client, settings.peer_key)
         tail = configuration_tail.ConfigurationTail(log, peers)
-        writer = snapshot_writer.SnapshotWriter(log, tail, live, settings)
-        sender = configuration_sender.ConfigurationSender(tail, live)
+        writer = snapshot_writer.SnapshotWriter(log, tail, hosts, settings)
+        sender = configuration_sender.ConfigurationSender(tail, hosts)
         pool = link_pool.LinkPool(
             nursery,
             _make_link_settings(settings, incarnation),
@@ -233,43 +239,45 @@
             settings.window_items,
         )
         keys = key_claims.KeyClaims(
-            claim_streams.ClaimStreams(log, claim_rates.ClaimRate(live)),
+            claim_streams.ClaimStreams(log, claim_rates.ClaimRate(hosts)),
             dispatcher,
             tail,
         )
         state = entry_state.EntryState(
             settings, tail, log, dispatcher, keys, incarnation
         )
-        hosts = http_host_list.HttpHostList(settings.hosts_url, client)
+        host_list = http_host_list.HttpHostList(settings.hosts_url, client)
         nursery.start_soon(tail.run)
         nursery.start_soon(
             host_watch.watch_hosts,
-            hosts,
+            host_list,
             pool,
-            live,
+            hosts,
             settings.hosts_poll_ms,
             settings.processes_on_host,
         )
-        board = status_tracker.StatusTracker(
-            log, tail, live, pool.list_all_links
+        tracker = status_tracker.StatusTracker(
+            log, tail, hosts, pool.list_all_links
         )
         nursery.start_soon(writer.run)
-        nursery.start_soon(board.run)
+        nursery.start_soon(tracker.run)
         nursery.start_soon(
             status_writer.StatusWriter(
-                log, tail, live, pool.list_all_links
+                log, tail, hosts, pool.list_all_links
             ).run
         )
-        told = trio.Event()
+        stop_requested = trio.Event()
         stop = trio.Event()
-        nursery.start_soon(_watch_signals, told)
-        nursery.start_soon(_leave_when_told, state, told, stop)
+        nursery.start_soon(_watch_signals, stop_requested)
+        nursery.start_soon(
+            _shut_down_when_requested, state, stop_requested, stop
+        )
         logs.log_event(
             events.ENTRY_STARTED,
             listen=settings.listen,
             incarnation=incarnation,
         )
-        await _serve_http(state, board, stop)
+        await _serve_http(state, tracker, stop)
         nursery.cancel_scope.cancel()
     logs.log_event(events.PROCESS_STOPPED)
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry_command.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry_command.py
@@ -15,4 +15,4 @@
 
 
 command: typing.Final = entry_settings.make_entry_command(_run)
-"""The command."""
+"""The click command, with an option for each setting."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry_state.py
@@ -1,4 +1,4 @@
-"""What the request handlers of one entry share."""
+"""State and checks that the request handlers of one entry share."""
 
 import itertools
 import typing
@@ -22,33 +22,36 @@
 _ALL_CUSTOMERS: typing.Final = "*"
 _DEFAULT_PRIORITY: typing.Final = 5
 _LEAVING_RETRY_MS: typing.Final = 500
+"""Retry-After of calls that a leaving or full entry refuses, milliseconds."""
 _UNLOADED: typing.Final = "unloaded"
 _UNLOADED_RETRY_MS: typing.Final = 10_000
+"""Retry-After of calls of a service declared unloaded, milliseconds."""
 
 
 class CallOptions(typing.NamedTuple):
-    """What a caller says beside the request itself."""
+    """Options that a caller gives in headers of its request."""
 
     repeatable: typing.Optional[bool]
-    """False when it may run at most once; None when the service decides."""
-    within_ms: int
-    """Time left to finish, milliseconds; 0 for no limit."""
+    """False when the request may run at most once; None for the service's
+    default."""
+    timeout_ms: int
+    """Time within which the call has to end, milliseconds; 0 for no limit."""
     generation: str
-    """Prepared identifier to start; empty for none."""
+    """Identifier of a prepared generation to start; empty for none."""
     key: str = ""
     """Idempotency key; empty for none."""
 
 
 def serves_customer(spec: resources.ServiceSpec, customer: str) -> bool:
-    """Tell whether a service answers a customer."""
+    """Tell whether a customer may call a service."""
     return bool({customer, _ALL_CUSTOMERS} & set(spec["customers"]))
 
 
 def _check_loaded(service: str, spec: resources.ServiceSpec) -> None:
-    """Refuse what the service's engines are not to run.
+    """Raise ``not_run`` if the service is declared unloaded.
 
-    Only for calls without an identifier: one with an identifier may have
-    run already, which its home alone can tell.
+    Only for calls without a generation identifier. A call with one may have
+    run already, which only the agent that holds the generation can tell.
     """
     if spec.get("state") == _UNLOADED:
         raise errors.CallError(
@@ -61,7 +64,7 @@
 
 
 class EntryState:
-    """Settings, configuration, dispatcher and the calls in flight."""
+    """Settings, configuration, dispatcher and idempotency keys."""
 
     def __init__(
         self,
@@ -72,7 +75,7 @@
         keys: key_claims.KeyClaims,
         incarnation: str,
     ) -> None:
-        """Serve by ``dispatcher`` what ``tail`` says is declared."""
+        """Serve the services that ``tail`` has through ``dispatcher``."""
         self.settings: typing.Final = settings
         self.tail: typing.Final = tail
         self.log: typing.Final = log
@@ -80,13 +83,13 @@
         self.keys: typing.Final = keys
         self.leaving = False
         self._incarnation: typing.Final = incarnation
-        self._numbers: typing.Final = itertools.count(1)
+        self._request_numbers: typing.Final = itertools.count(1)
 
     def find_service(self, name: str, customer: str) -> resources.ServiceSpec:
-        """Return the service if it answers the customer.
+        """Return the service if the customer may call it.
 
-        Raises ``unknown_service`` otherwise, the same for a service that
-        exists for others, so that a stranger learns nothing.
+        Raises ``unknown_service`` otherwise, also when the service exists
+        for other customers, so that the answer doesn't reveal it.
         """
         resource = self.tail.state.find_resource(configuration.SERVICE, name)
         if resource is not None:
@@ -113,8 +116,8 @@
         options: CallOptions,
         repeatable_by_default: bool = True,
     ) -> call_requests.CallRequest:
-        """Return the request with all that resources say about it."""
-        self._check_room(bool(options.generation or options.key))
+        """Return the request with the settings of its service and customer."""
+        self._check_capacity(bool(options.generation or options.key))
         spec = self.find_service(service, customer)
         wanted_kind = "plain" if request["kind"] == "plain" else "model"
         if spec["kind"] != wanted_kind:
@@ -125,12 +128,12 @@
             )
         if not options.generation:
             _check_loaded(service, spec)
-        owner = self._find_customer(customer)
+        customer_spec = self._find_customer(customer)
         start_ms = self.settings.start_within_ms
         finish_by = deadlines.NO_DEADLINE
-        if options.within_ms:
-            start_ms = min(start_ms, options.within_ms)
-            finish_by = deadlines.make_deadline(options.within_ms)
+        if options.timeout_ms:
+            start_ms = min(start_ms, options.timeout_ms)
+            finish_by = deadlines.make_deadline(options.timeout_ms)
         repeatable = options.repeatable
         if repeatable is None:
             repeatable = spec.get("repeatable", repeatable_by_default)
@@ -140,9 +143,11 @@
             self.make_request_identifier(),
             service,
             customer,
-            owner.get("weight", 1.0),
-            owner.get("max_concurrent", 0),
-            owner.get("priority", spec.get("priority", _DEFAULT_PRIORITY)),
+            customer_spec.get("weight", 1.0),
+            customer_spec.get("max_concurrent", 0),
+            customer_spec.get(
+                "priority", spec.get("priority", _DEFAULT_PRIORITY)
+            ),
             repeatable,
             request,
             deadlines.make_deadline(start_ms),
@@ -153,13 +158,13 @@
 
     def make_request_identifier(self) -> str:
         """Return an identifier for one caller's request."""
-        return f"{self._incarnation}-{next(self._numbers)}"
+        return f"{self._incarnation}-{next(self._request_numbers)}"
 
-    def _check_room(self, may_have_run: bool) -> None:
-        """Refuse when the entry takes no more.
+    def _check_capacity(self, may_have_run: bool) -> None:
+        """Raise an error if the entry is leaving or has too many calls.
 
-        What has an identifier or a key may have been started through
-        another entry: only its home can say that it did not run.
+        A call with a generation identifier or an idempotency key may have
+        been started through another entry, so its outcome is unknown here.
         """
         reason = ""
         if self.leaving:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/shutdown_limits.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/shutdown_limits.py
@@ -1,7 +1,7 @@
-"""Waits that end with an answer when the time of a shutdown is over.
+"""Ends the waits of calls with an error when the shutdown time is over.
 
-What still waits then would be cancelled with its connection, and a caller
-that has no answer yet could not tell whether its request ran.
+Otherwise such a wait would be cancelled with its connection, and a caller
+without an answer couldn't tell whether its request ran.
 """
 
 from collections import abc
@@ -16,10 +16,10 @@
 
 
 class ShutdownLimits:
-    """The waits of calls for anything but the next message of an agent."""
+    """Cancels the waits of calls, except for an agent's next message."""
 
     def __init__(self) -> None:
-        """Limit nothing until :meth:`cancel_waits`."""
+        """Start without a limit; :meth:`cancel_waits` sets it."""
         self._scopes: typing.Final[set[trio.CancelScope]] = set()
         self.is_expired = False
 
@@ -27,7 +27,7 @@
     def limit_wait(
         self, make_error: abc.Callable[[], errors.CallError]
     ) -> abc.Iterator[None]:
-        """Raise the error of ``make_error`` if the wait has to end."""
+        """Raise the error of ``make_error`` if the wait is cancelled."""
         if self.is_expired:
             raise make_error()
         with trio.CancelScope() as scope:
@@ -40,7 +40,7 @@
             raise make_error()
 
     def cancel_waits(self) -> None:
-        """End all waits, and begin none any more."""
+        """Cancel all open waits, and let later ones fail at once."""
         self.is_expired = True
         for scope in self._scopes:
             scope.cancel()
