--- a/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
+++ b/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what agents are told of the configuration."""
+"""Steps for the messages that send the configuration to agents."""
 
 import types
 
@@ -16,7 +16,7 @@
 
 
 class FakeTail:
-    """A configuration that changes when told."""
+    """A configuration that the scenario changes."""
 
     def __init__(self):
         self.state = types.SimpleNamespace(
@@ -32,23 +32,23 @@
         """Return at once."""
 
     async def wait_changed(self):
-        """Wait for the next change."""
+        """Wait until the next change."""
         await self._changed.wait()
 
     def change(self):
-        """Fold one more record."""
+        """Apply a record that doesn't concern the service."""
         self.state.offset += 1
         self._changed.set()
         self._changed = trio.Event()
 
     def change_service(self):
-        """Fold a record that changes the service."""
+        """Apply a record that changes the service."""
         self.revision = self.state.offset + 1
         self.change()
 
 
 class FakeLink:
-    """A link during whose first message the configuration changes."""
+    """A link whose first send takes until the configuration has changed."""
 
     def __init__(self, tail):
         self.host = types.SimpleNamespace(service=SERVICE)
@@ -56,7 +56,7 @@
         self._tail = tail
 
     async def send(self, message):
-        """Note the message's offset."""
+        """Record the offset; change the service during the first send."""
         self.offsets.append(message["offset"])
         if len(self.offsets) == 1:
             self._tail.change_service()
@@ -69,22 +69,22 @@
 
 
 class FakeConnection:
-    """A connection whose agent answers at once or never."""
+    """A connection whose agent confirms messages at once or never."""
 
     def __init__(self, link, confirms):
-        self.told = []
+        self.sent = []
         self._link = link
         self._confirms = confirms
 
     async def send(self, message):
-        """Note the message; let the agent confirm it."""
-        self.told.append(message)
+        """Record the message, and confirm it if the agent does so."""
+        self.sent.append(message)
         if self._confirms:
             answer = {"type": "configured", "offset": message["offset"]}
             self._link._handle(answer)
 
 
-@behave.given("a connection that takes a message only after a further change")
+@behave.given("a connection whose first send takes until a further change")
 def make_link(context):
     context.tail = FakeTail()
     context.link = FakeLink(context.tail)
@@ -95,8 +95,8 @@
     context.confirms = what != "nothing"
 
 
-async def send_until_blocked(context, change):
-    """Send until nothing is left to do, change something, and go on."""
+async def send_around_change(context, change):
+    """Run the sender until it waits, call ``change``, and run it again."""
     sender = configuration_sender.ConfigurationSender(
         context.tail, context.hosts
     )
@@ -111,11 +111,11 @@
 @behave.when("the configuration is sent")
 def send(context):
     context.hosts = live_hosts.LiveHosts("entry-1")
-    trio.run(send_until_blocked, context, lambda: None)
+    trio.run(send_around_change, context, lambda: None)
 
 
 def connect(context):
-    """Give the link of the scenario a connection."""
+    """Connect the link of the scenario to its agent."""
     context.tail = FakeTail()
     context.hosts = live_hosts.LiveHosts("entry-1")
     context.link = link_builders.make_link("agent-1", "zona-norte")
@@ -123,21 +123,21 @@
     context.link._connection = context.connection
 
 
-@behave.when("a record is folded that does not concern its service")
-def fold_other(context):
+@behave.when("a record is applied that does not concern its service")
+def apply_other_record(context):
     connect(context)
-    trio.run(send_until_blocked, context, context.tail.change)
+    trio.run(send_around_change, context, context.tail.change)
 
 
-@behave.when("the host list shows {count:d} targets of its service")
-def show_targets(context, count):
+@behave.when("the host list has {count:d} targets of its service")
+def list_targets(context, count):
     connect(context)
     hosts = [
         ports.Host(f"h-{n}", "agent", SERVICE, f"t-{n}", "a:1", "n", "live")
         for n in range(count)
     ]
 
-    async def show():
+    async def run_sender():
         sender = configuration_sender.ConfigurationSender(
             context.tail, context.hosts
         )
@@ -145,42 +145,42 @@
             nursery.start_soon(sender.send_updates, context.link)
             await trio.testing.wait_all_tasks_blocked()
             context.hosts.update_hosts(hosts)
-            while len(context.connection.told) < 2:
+            while len(context.connection.sent) < 2:
                 await trio.sleep(1)
             nursery.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
-    trio.run(show, clock=clock)
+    trio.run(run_sender, clock=clock)
 
 
 @behave.then(
-    "the agent is told the offset before the change and that after it"
+    "the agent is sent the offset before the change and the one after it"
 )
 def check_offsets(context):
     assert context.link.offsets == [1, 2], context.link.offsets
 
 
-@behave.then("the agent is told the first offset only")
-def check_told_once(context):
-    told = [message["offset"] for message in context.connection.told]
-    assert told == [1], told
+@behave.then("the agent is sent only the first offset")
+def check_sent_once(context):
+    sent = [message["offset"] for message in context.connection.sent]
+    assert sent == [1], sent
 
 
-@behave.then("the agent is told again, with {count:d} targets")
-def check_told_targets(context, count):
-    told = [message["replicas"] for message in context.connection.told]
-    assert told == [0, count], told
+@behave.then("the agent is sent a second message, with {count:d} targets")
+def check_sent_targets(context, count):
+    sent = [message["replicas"] for message in context.connection.sent]
+    assert sent == [0, count], sent
 
 
 def list_in_force(context):
     return status_writer.list_agents_in_force([context.link], 2)
 
 
-@behave.then("the change counts as in force there")
+@behave.then("the change counts as in force on its host")
 def check_in_force(context):
     assert list_in_force(context) == ["agent-1"]
 
 
-@behave.then("the change does not count as in force there")
+@behave.then("the change does not count as in force on its host")
 def check_not_in_force(context):
     assert list_in_force(context) == []
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_client.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_client.py
@@ -1,8 +1,8 @@
-"""A client of the administration API that knows several entries.
+"""A client of the administration API that fails over between entries.
 
-An entry that can't be reached is passed over and the next one asked. A write
-keeps its change identifier at every entry, so that one whose answer was lost
-is applied once, however many entries got it.
+When an entry can't be reached, the call is sent to the next one. A change
+keeps its identifier at every entry, so that a change whose answer was lost is
+applied once, however many entries received it.
 """
 
 from collections import abc
@@ -24,15 +24,16 @@
 )
 
 _ANSWER_TIMEOUT_S: typing.Final = 20.0
-_SILENCE_S: typing.Final = 15.0
+_WATCH_TIMEOUT_S: typing.Final = 15.0
+"""Time without a line after which a watch is ended, seconds."""
 _PLURALS: typing.Final = {"service": "services", "customer": "customers"}
 
 
 class AdministrationError(Exception):
-    """No entry gave an answer, or an entry refused the call."""
+    """No entry answered, or an entry refused the call."""
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
-        """Make the error for a step with an entry."""
+        """Create the error of a step that ``peer`` failed."""
         self.step: typing.Final = step
         self.peer: typing.Final = peer
         self.reason: typing.Final = reason
@@ -40,7 +41,7 @@
 
 
 class WriteAnswer(typing.NamedTuple):
-    """What became of a write."""
+    """The outcome of a change, or that it is pending."""
 
     change: str
     """Identifier of the change."""
@@ -49,7 +50,7 @@
     revision: int
     """Offset of the record; 0 while pending."""
     reason: str
-    """Why it was refused."""
+    """Why it was refused; empty otherwise."""
 
 
 def _describe_refusal(answer: httpx.Response) -> str:
@@ -61,17 +62,17 @@
 
 
 class AdministrationClient:
-    """Calls the first of some entries that answers."""
+    """Sends calls to the first entry that answers."""
 
     def __init__(
         self, entries: abc.Sequence[str], key: str, client: httpx.Client
     ) -> None:
-        """Call the entries at the base URLs ``entries`` with ``key``."""
+        """Call entries by their base URLs, authenticated by ``key``."""
         self._entries = list(entries)
         self._headers: typing.Final = {"Authorization": f"Bearer {key}"}
         self._client: typing.Final = client
 
-    def _pass_over_first(self) -> None:
+    def _move_first_to_end(self) -> None:
         self._entries = [*self._entries[1:], self._entries[0]]
 
     def call(
@@ -80,10 +81,11 @@
         path: str,
         body: typing.Optional[abc.Mapping[str, typing.Any]] = None,
     ) -> httpx.Response:
-        """Return the answer of the first entry that gives one.
+        """Return the response of the first entry that answers.
 
-        An answer 503 of an entry that isn't ready, or is leaving, counts as
-        none. Raises :class:`AdministrationError` when no entry is left.
+        A 503 comes from an entry that isn't ready or is leaving, and counts
+        as no answer. Raises :class:`AdministrationError` when no entry
+        answers.
         """
         reason = "no entry is given"
         for _ in tuple(self._entries):
@@ -102,7 +104,7 @@
                 if answer.status_code != 503:
                     return answer
                 reason = f"{entry}: {_describe_refusal(answer)}"
-            self._pass_over_first()
+            self._move_first_to_end()
         raise AdministrationError(f"{method} {path}", "every entry", reason)
 
     def read(self, path: str) -> typing.Any:
@@ -117,20 +119,20 @@
     def list_resources(self, plural: str) -> dict[str, typing.Any]:
         """Return all resources of a kind, read page by page.
 
-        The revision is that of the first page, so that a watch from there
-        tells whatever changed while the pages were read.
+        The revision is that of the first page, so that a watch from it
+        reports the changes that were made while the pages were read.
         """
         first = self.read(plural)
-        following = first.pop("next")
-        while following:
-            query = urllib.parse.urlencode({"after_name": following})
+        next_name = first.pop("next")
+        while next_name:
+            query = urllib.parse.urlencode({"after_name": next_name})
             page = self.read(f"{plural}?{query}")
             first["items"] += page["items"]
-            following = page["next"]
+            next_name = page["next"]
         return typing.cast(dict[str, typing.Any], first)
 
     def put(self, manifest: manifests.Manifest, change: str) -> WriteAnswer:
-        """Declare a resource under the identifier ``change``."""
+        """Write a resource, as the change with identifier ``change``."""
         plural = _PLURALS[manifest.kind]
         return self._write(
             "PUT",
@@ -141,7 +143,7 @@
     def delete(
         self, plural: str, name: str, base: int, change: str
     ) -> WriteAnswer:
-        """Delete a resource under the identifier ``change``."""
+        """Delete a resource, as the change with identifier ``change``."""
         return self._write(
             "DELETE", f"{plural}/{name}", {"base": base, "change": change}
         )
@@ -167,9 +169,10 @@
     ) -> abc.Iterator[abc.Mapping[str, typing.Any]]:
         """Yield the lines of one watch until its connection ends.
 
-        Heartbeats come too, and tell from where to resume. A connection
-        that is silent is given up. Raises :class:`AdministrationError`
-        when the entry refuses; the next call asks the next entry.
+        The lines include heartbeats, which carry the revision to resume
+        from. A connection without data for some time is closed. After a
+        connection error the next call goes to the next entry. Raises
+        :class:`AdministrationError` when the entry refuses the watch.
         """
         entry = self._entries[0]
         params: dict[str, typing.Union[str, int]] = {"kind": plural}
@@ -181,7 +184,7 @@
                 f"{entry}/admin/v1/watch",
                 params=params,
                 headers=self._headers,
-                timeout=_SILENCE_S,
+                timeout=_WATCH_TIMEOUT_S,
             ) as answer:
                 if answer.is_error:
                     answer.read()
@@ -190,7 +193,7 @@
                 for line in answer.iter_lines():
                     yield msgspec.json.decode(line, type=dict)
         except httpx.TransportError:
-            self._pass_over_first()
+            self._move_first_to_end()
 
 
 def make_change_identifier() -> str:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
@@ -1,4 +1,4 @@
-"""How changes and resources look to operators."""
+"""Converts changes and resources to the JSON that operators get."""
 
 import typing
 
@@ -20,23 +20,23 @@
 )
 
 ACCEPTED: typing.Final = "accepted"
-"""State of a change that is in the configuration."""
+"""State of a change that was applied to the configuration."""
 REFUSED: typing.Final = "refused"
-"""State of a change that the rule refused."""
+"""State of a change that the configuration's rules refused."""
 PENDING: typing.Final = "pending"
-"""State of a change whose outcome isn't known here."""
+"""State of a change whose outcome this entry doesn't know yet."""
 _JSON: typing.Final = "application/json"
 
 
 class ResourceRow(typing.TypedDict):
-    """A resource in an answer."""
+    """A resource as it appears in an answer."""
 
     kind: str
     """``service`` or ``customer``."""
     name: str
     """Name of the resource."""
     revision: int
-    """Offset of the record that was accepted last."""
+    """Offset of the last accepted change of the resource."""
     spec: typing.Any
     """The specification as it was declared."""
 
@@ -45,15 +45,15 @@
     """On how many hosts a change is in force."""
 
     n: int
-    """Live hosts known to have it."""
+    """Number of live hosts on which the change is known to be in force."""
     of: int
-    """Live hosts."""
+    """Number of live hosts."""
     lagging: list[str]
-    """Names of some of the others."""
+    """Names of hosts on which it isn't in force, up to a maximum number."""
 
 
 class ChangeRow(typing.TypedDict):
-    """A change in an answer."""
+    """A change as it appears in an answer."""
 
     change: str
     """Identifier of the change."""
@@ -66,13 +66,13 @@
     action: str
     """``put`` or ``delete``."""
     revision: int
-    """Offset of its record; 0 while pending."""
+    """Offset of the change's record; 0 while pending."""
     reason: str
     """Why it was refused; empty otherwise."""
 
 
 def describe_resource(item: configuration.Resource) -> ResourceRow:
-    """Return a resource as operators see it."""
+    """Return the JSON object for a resource."""
     return {
         "kind": item.kind,
         "name": item.name,
@@ -86,7 +86,7 @@
         configuration.ChangeOutcome, pending_changes.PendingChange
     ],
 ) -> ChangeRow:
-    """Return a change as operators see it."""
+    """Return the JSON object for an outcome or a pending change."""
     state = PENDING
     revision = 0
     reason = ""
@@ -106,12 +106,12 @@
 
 
 def describe_in_force(found: status_tracker.InForce) -> InForceRow:
-    """Return where a change is in force as operators see it."""
+    """Return the JSON object for the hosts that have a change."""
     return {"n": found.n, "of": found.of, "lagging": list(found.lagging)}
 
 
 def make_json_answer(body: object, status: int = 200) -> quart.Response:
-    """Return the HTTP answer with a JSON body."""
+    """Return an HTTP response with a JSON body."""
     return quart.Response(
         msgspec.json.encode(body), status=status, content_type=_JSON
     )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
@@ -1,4 +1,4 @@
-"""Tells agents the resource of their service."""
+"""Sends agents the configuration of their service."""
 
 import typing
 
@@ -12,25 +12,27 @@
 
 __all__ = ("ConfigurationSender",)
 
-_COUNT_AGAIN_S: typing.Final = 10.0
+_RECOUNT_INTERVAL_S: typing.Final = 10.0
+"""Longest time until the number of targets is read again, seconds."""
 
 
-class _Told(typing.NamedTuple):
-    """What an agent was told, apart from the offset."""
+class _Content(typing.NamedTuple):
+    """The content of a message to an agent, without its offset."""
 
     revision: int
-    """Revision of the resource; 0 when there is none."""
+    """Revision of the service's resource; 0 when there is none."""
     replicas: int
-    """Number of the service's targets."""
+    """Number of live targets of the service."""
 
 
 class ConfigurationSender:
     """Sends each agent the resource of its service whenever it changes.
 
-    Most changes are of customers, whom only entries know. Telling every
-    agent each new offset would be a sixth of an entry's control traffic at
-    the size of docs/CAPACITY.md, so an agent hears only of its service, and
-    the link notes up to which offset that holds.
+    Most changes concern customers, whose resources agents don't get. Sending
+    every new offset to every agent would be a sixth of an entry's control
+    traffic at the size of docs/CAPACITY.md. So an agent gets a message only
+    when its own service changes, and the link records up to which offset the
+    last message is current.
     """
 
     def __init__(
@@ -38,40 +40,40 @@
         tail: configuration_tail.ConfigurationTail,
         hosts: live_hosts.LiveHosts,
     ) -> None:
-        """Send what ``tail`` has folded, and how many targets there are."""
+        """Send resources of ``tail`` and numbers of targets in ``hosts``."""
         self._tail: typing.Final = tail
         self._hosts: typing.Final = hosts
 
     async def send_updates(self, link: agent_links.AgentLink) -> None:
-        """Send now and after each change, until the link is lost."""
+        """Send the service's resource, and again after each change of it."""
         await self._tail.wait_ready()
-        told: typing.Optional[_Told] = None
+        sent: typing.Optional[_Content] = None
         while True:
             message = self._make_message(link.host.service)
             offset = message["offset"]
-            news = _Told(message["revision"], message["replicas"])
-            if news != told:
+            content = _Content(message["revision"], message["replicas"])
+            if content != sent:
                 await link.send(message)
-                told = news
+                sent = content
                 link.note_told(offset)
             else:
                 link.note_covered(offset)
-            # A change that is folded while the resource is being sent must
-            # not be waited for, since it has passed: the agent would serve
-            # by the old resource until some later change.
+            # A change that was applied during the send has already been
+            # announced. Waiting now would miss it, and the agent would keep
+            # the old resource until some later change.
             if self._tail.state.offset == offset:
-                # The number of targets comes from the host list, which tells
-                # nobody here when it changes.
-                with trio.move_on_after(_COUNT_AGAIN_S):
+                # The wait is limited because the number of targets, which
+                # comes from the host list, changes without notice here.
+                with trio.move_on_after(_RECOUNT_INTERVAL_S):
                     await self._tail.wait_changed()
 
     def _make_message(self, service: str) -> messages.Configure:
         state = self._tail.state
-        found = state.find_resource(configuration.SERVICE, service)
+        resource = state.find_resource(configuration.SERVICE, service)
         return {
             "type": "configure",
             "offset": state.offset,
-            "revision": found.revision if found else 0,
-            "service": found.spec if found else b"",
+            "revision": resource.revision if resource else 0,
+            "service": resource.spec if resource else b"",
             "replicas": self._hosts.count_targets(service),
         }
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/host_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/host_watch.py
@@ -1,4 +1,4 @@
-"""Follows the platform's host list."""
+"""Polls the platform's host list."""
 
 import typing
 
@@ -13,28 +13,30 @@
 __all__ = ("compute_poll_interval_ms", "watch_hosts")
 
 _FREE_BYTES: typing.Final = 2048
+"""Size of a list that is read without an additional pause, bytes."""
 _BUDGET_BYTES_S: typing.Final = 500
+"""Rate that a host may spend on reading the list, bytes per second."""
 
 
 def compute_poll_interval_ms(
     poll_ms: int, read_bytes: int, processes_on_host: int = 1
 ) -> int:
-    """Return the time to the next reading of the list, milliseconds.
+    """Return the time until the next read of the list, milliseconds.
 
-    The list of some thousand hosts is longer than what a node may spend on
-    control in a minute, if it is read each second. So a reading of more
-    than a few hosts is paid off before the next one, from the share of one
-    of the host's entry processes. What the list says
-    comes late anyway: agents tell themselves that they leave, and one that
-    is gone is noticed by its silence.
+    One list of some thousand hosts is larger than a host's budget of a whole
+    minute for control traffic, so it can't be read every second. The time
+    grows with the size of the last read beyond a few hosts, such that all
+    entry processes of the host together stay within the budget. A late list
+    does little harm: agents announce themselves that they leave, and a lost
+    agent is detected by its silence.
 
     >>> compute_poll_interval_ms(1000, 2048)
     1000
     >>> compute_poll_interval_ms(1000, 32048)
     60000
     """
-    owed_bytes = (read_bytes - _FREE_BYTES) * processes_on_host
-    return max(poll_ms, owed_bytes * 1000 // _BUDGET_BYTES_S)
+    excess_bytes = (read_bytes - _FREE_BYTES) * processes_on_host
+    return max(poll_ms, excess_bytes * 1000 // _BUDGET_BYTES_S)
 
 
 async def watch_hosts(
@@ -44,10 +46,10 @@
     poll_ms: int,
     processes_on_host: int,
 ) -> None:
-    """Read the host list for ever and tell the pool and ``live``.
+    """Read the host list periodically and update ``pool`` and ``live``.
 
-    While the list can't be read, the last known hosts stay in use: the
-    agents' own word tells which of them are gone.
+    While the list can't be read, the last known hosts stay in use; the
+    connections to the agents tell which of them are gone.
     """
     available = True
     while True:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/live_hosts.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/live_hosts.py
@@ -1,4 +1,4 @@
-"""The last reading of the host list, for those who need all hosts."""
+"""The live hosts of the last read host list."""
 
 from collections import abc
 import typing
@@ -15,16 +15,16 @@
 
 
 class LiveHosts:
-    """Hosts that the platform's list shows as live."""
+    """Hosts whose state in the platform's host list is live."""
 
     def __init__(self, own_name: str) -> None:
-        """Start with no hosts, seen from the host ``own_name``."""
+        """Start without hosts; ``own_name`` is the name of this entry."""
         self.own_name: typing.Final = own_name
         self._hosts: abc.Sequence[ports.Host] = ()
         self._changed = trio.Event()
 
     def update_hosts(self, hosts: abc.Iterable[ports.Host]) -> None:
-        """Take a new reading of the list."""
+        """Replace the hosts by those of a newly read list."""
         live = tuple(host for host in hosts if host.state == _LIVE)
         if live != self._hosts:
             self._hosts = live
@@ -32,7 +32,7 @@
             self._changed = trio.Event()
 
     async def wait_changed(self) -> None:
-        """Wait until a reading differs from the one before."""
+        """Wait until the live hosts change."""
         await self._changed.wait()
 
     def list_hosts(self) -> abc.Sequence[ports.Host]:
@@ -40,7 +40,7 @@
         return self._hosts
 
     def list_other_entries(self) -> abc.Sequence[ports.Host]:
-        """Return the live entries but this one."""
+        """Return the live entries without this one."""
         return [
             host
             for host in self._hosts
@@ -56,15 +56,15 @@
         return sum(host.service == service for host in self._hosts)
 
     def find_own_rank(self, subject: str) -> int:
-        """Return this entry's place, from 0, among those for ``subject``.
+        """Return this entry's rank for ``subject``, from 0 for the first.
 
-        Rendezvous hashing: all entries with the same list agree who comes
-        first, and the turn falls to others for other subjects.
+        Rendezvous hashing: all entries with the same host list compute the
+        same order, and different subjects give different orders.
         """
 
-        def weigh(name: str) -> int:
+        def compute_weight(name: str) -> int:
             return xxhash.xxh64_intdigest(f"{subject}/{name}".encode())
 
-        own = weigh(self.own_name)
+        own = compute_weight(self.own_name)
         others = self.list_other_entries()
-        return sum(weigh(host.host) > own for host in others)
+        return sum(compute_weight(host.host) > own for host in others)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/peer_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/peer_routes.py
@@ -1,4 +1,4 @@
-"""What an entry gives other entries: its folded configuration."""
+"""The HTTP route that serves the configuration to other entries."""
 
 import hmac
 import typing
@@ -32,7 +32,7 @@
     routes = quart.Blueprint("peer", __name__)
 
     @routes.get(peer_state.STATE_PATH)
-    async def give_state() -> quart.Response:
+    async def get_state() -> quart.Response:
         headers = quart.request.headers
         _check_peer_key(
             headers.get(peer_connections.PEER_KEY_HEADER, ""), peer_key
@@ -50,11 +50,11 @@
         encoded = await trio.to_thread.run_sync(
             snapshots.encode_state, tail.state.copy_state()
         )
-        packed = await trio.to_thread.run_sync(
+        compressed = await trio.to_thread.run_sync(
             snapshots.compress_state, encoded.data
         )
         return quart.Response(
-            packed,
+            compressed,
             content_type="application/octet-stream",
             headers={
                 peer_state.OFFSET_HEADER: str(encoded.offset),
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/pending_changes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/pending_changes.py
@@ -1,14 +1,15 @@
-"""Writes of which this entry does not yet know what became."""
+"""Changes that were sent to the log and whose outcome is unknown here."""
 
 import typing
 
 __all__ = ("PendingChange", "PendingChanges")
 
-_MOST: typing.Final = 1024
+_MAX_CHANGES: typing.Final = 1024
+"""Number of changes that are kept."""
 
 
 class PendingChange(typing.NamedTuple):
-    """A write that was handed to the log."""
+    """A change that was sent to the log."""
 
     change: str
     """Identifier of the change."""
@@ -21,27 +22,27 @@
 
 
 class PendingChanges:
-    """The pending writes of this entry, the newest of them when many."""
+    """The newest pending changes of this entry, up to a maximum number."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without changes."""
         self._changes: typing.Final[dict[str, PendingChange]] = {}
 
     def add(self, change: PendingChange) -> None:
-        """Add a write, and forget the oldest beyond the limit."""
+        """Add a change, and drop the oldest ones above the maximum."""
         self._changes.pop(change.change, None)
         self._changes[change.change] = change
-        while len(self._changes) > _MOST:
+        while len(self._changes) > _MAX_CHANGES:
             del self._changes[next(iter(self._changes))]
 
     def forget(self, change: str) -> None:
-        """Forget a write whose outcome is known."""
+        """Drop a change whose outcome is known."""
         self._changes.pop(change, None)
 
     def find(self, change: str) -> typing.Optional[PendingChange]:
-        """Return a pending write, or None."""
+        """Return a pending change, or None."""
         return self._changes.get(change)
 
     def list_all(self) -> tuple[PendingChange, ...]:
-        """Return the pending writes, oldest first."""
+        """Return the pending changes, oldest first."""
         return tuple(self._changes.values())
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Reads snapshots of the configuration from the log, and writes them."""
+"""Reads and writes snapshots of the configuration in the log."""
 
 from collections import abc
 import secrets
@@ -18,30 +18,32 @@
 
 _IDENTIFIER_BYTES: typing.Final = 8
 _TRIED_ENTRIES: typing.Final = 8
+"""Number of the latest index entries whose snapshots are tried."""
 _PARTS_AT_ONCE: typing.Final = 4
+"""Number of parts that one read returns at most."""
 
 
 async def _read_entries(
     log: ports.Log,
 ) -> abc.Sequence[snapshots.IndexEntry]:
-    """Return the last index entries, the highest offset first."""
+    """Return the latest index entries, the highest offset first."""
     end = await log.read_records(snapshots.INDEX_STREAM, 1, 1, 0)
     start = max(1, end.first, end.next - _TRIED_ENTRIES)
-    piece = await log.read_records(
+    batch = await log.read_records(
         snapshots.INDEX_STREAM, start, _TRIED_ENTRIES, 0
     )
-    found = [
+    entries = [
         entry
-        for record in piece.records
+        for record in batch.records
         if (entry := snapshots.decode_index_entry(record.data))
     ]
-    return sorted(found, key=lambda entry: -entry.offset)
+    return sorted(entries, key=lambda entry: -entry.offset)
 
 
 async def read_newest_entry(
     log: ports.Log,
 ) -> typing.Optional[snapshots.IndexEntry]:
-    """Return where the snapshot of the highest offset is.
+    """Return the index entry of the snapshot with the highest offset.
 
     Raises :class:`ports.PortError` when the log can't be read.
     """
@@ -52,10 +54,10 @@
 async def read_newer_state(
     log: ports.Log, offset: int
 ) -> typing.Optional[configuration.Configuration]:
-    """Return the newest whole snapshot above ``offset``, if there is one.
+    """Return the newest complete snapshot above ``offset``, or None.
 
-    A snapshot that lacks parts, or whose digest is wrong, is refused with
-    an event, and the next older one is tried. Raises
+    A snapshot that lacks parts, or whose digest is wrong, is logged as
+    refused, and the next older one is tried. Raises
     :class:`ports.PortError` when the log can't be read.
     """
     for entry in await _read_entries(log):
@@ -68,7 +70,11 @@
         )
         if result.is_ok() and result.ok.offset == entry.offset:
             return result.ok
-        failure = errors.Failure("load snapshot", entry.snapshot, "offset")
+        failure = errors.Failure(
+            "load snapshot",
+            entry.snapshot,
+            "the offset is not that of the index entry",
+        )
         if result.is_error():
             failure = result.error
         logs.log_event(
@@ -86,17 +92,17 @@
     records: list[bytes] = []
     start = entry.first
     while start <= entry.last:
-        piece = await log.read_records(
+        batch = await log.read_records(
             snapshots.SNAPSHOT_STREAM, start, _PARTS_AT_ONCE, 0
         )
-        if not piece.records:
+        if not batch.records:
             return records
         records += [
             record.data
-            for record in piece.records
+            for record in batch.records
             if record.offset <= entry.last
         ]
-        start = piece.records[-1].offset + 1
+        start = batch.records[-1].offset + 1
     return records
 
 
@@ -105,10 +111,10 @@
 ) -> snapshots.IndexEntry:
     """Append a snapshot of ``state`` and return its index entry.
 
-    The entry comes after the parts, so that a writer which dies between them
-    leaves some parts that nobody looks at, never an entry without parts.
-    Raises :class:`ports.PortError`; an append whose reply was lost ends the
-    writing too, since where the part went isn't known.
+    The index entry is written after the parts, so that a writer which dies
+    in between leaves unreferenced parts, but never an entry without parts.
+    Raises :class:`ports.PortError`, also for an append whose reply was lost,
+    since the offset of the part isn't known then.
     """
     encoded = await trio.to_thread.run_sync(
         snapshots.encode_state, state.copy_state()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
@@ -1,9 +1,9 @@
-"""Records by which entries tell which configuration is in force.
+"""Records with which entries report which configuration is in force.
 
-An entry names its own offset and the agents it is connected to that have at
-least this offset. An agent that lags is simply not named. Names are given as
-short digests: an entry has up to a hundred agents, and 380 entries write
-such a record after each change.
+A record has the offset of an entry, and the agents connected to it that have
+at least this offset; lagging agents are left out. Agents are identified by
+short digests to keep the records small: an entry has up to a hundred agents,
+and 380 entries write such a record after each change.
 """
 
 from collections import abc
@@ -29,21 +29,22 @@
 
 
 class StatusRecord(typing.NamedTuple):
-    """What one entry knows to be in force."""
+    """The configuration in force at an entry and at its agents."""
 
     host: str
     """Name of the entry's host."""
     offset: int
-    """Configuration offset in force at the entry and the named agents."""
+    """Configuration offset in force at the entry and the listed agents."""
     agents: bytes
-    """Digests of the agents' host names, one after the other, in order."""
+    """Digests of the agents' host names, sorted and concatenated."""
 
 
 def digest_name(host: str) -> bytes:
-    """Return the digest that stands for an agent's host.
+    """Return the digest that identifies an agent's host.
 
-    Five bytes: among 2,700 names two share a digest in one deployment of
-    some 300,000; one of the two would then count when the other does.
+    With five bytes, two of 2,700 names have the same digest in one deployment
+    of some 300,000. One of the two hosts would then count as up to date when
+    the other one is.
     """
     return xxhash.xxh64_digest(host.encode())[:_DIGEST_BYTES]
 
@@ -62,10 +63,10 @@
 
 
 def decode_status(data: bytes) -> typing.Optional[StatusRecord]:
-    """Return the record in ``data``, or None when it holds none."""
+    """Return the record in ``data``, or None if it is malformed."""
     try:
         return msgspec.convert(cbor2.loads(data), StatusRecord)
-    except Exception:  # Broken input must never end a process.
+    except Exception:  # Malformed input must not end the process.
         return None
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_writer.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_writer.py
@@ -1,4 +1,4 @@
-"""Tells the log which configuration is in force here and at the agents."""
+"""Reports to the log which configuration this entry and its agents have."""
 
 from collections import abc
 import random
@@ -15,10 +15,13 @@
 
 __all__ = ("StatusWriter", "list_agents_in_force")
 
-_LEAST_PAUSE_S: typing.Final = 2.0
+_MIN_PAUSE_S: typing.Final = 2.0
 _APPENDS_PER_S: typing.Final = 100
+"""Highest rate of status records of all entries, per second."""
 _JITTER: typing.Final = 0.25
-_ASSERT_AGAIN_MS: typing.Final = 60_000
+"""Largest random deviation of a pause, as a share of it."""
+_REPEAT_MS: typing.Final = 60_000
+"""Time after which an unchanged record is written again, milliseconds."""
 
 
 def list_agents_in_force(
@@ -33,10 +36,10 @@
 
 
 class StatusWriter:
-    """Appends a record whenever it differs from the last, and each minute.
+    """Appends a status record when it has changed, and every minute.
 
     The pause between two records grows with the number of entries, so that
-    all of them together leave most of the log's rate to operators.
+    all of them together leave most of the log's append rate to operators.
     """
 
     def __init__(
@@ -46,33 +49,33 @@
         hosts: live_hosts.LiveHosts,
         list_links: abc.Callable[[], abc.Iterable[agent_links.AgentLink]],
     ) -> None:
-        """Write about ``tail`` and the agents behind ``list_links``."""
+        """Report on ``tail`` and the agents of the links in ``list_links``."""
         self._log: typing.Final = log
         self._tail: typing.Final = tail
         self._hosts: typing.Final = hosts
         self._list_links: typing.Final = list_links
-        self._written: typing.Optional[status_records.StatusRecord] = None
-        self._assert_again_at = deadlines.make_deadline(0)
+        self._last_record: typing.Optional[status_records.StatusRecord] = None
+        self._repeat_at = deadlines.make_deadline(0)
 
     async def run(self) -> None:
-        """Write for ever, through outages of the log."""
+        """Write until cancelled, also through outages of the log."""
         await self._tail.wait_ready()
         while True:
             await trio.sleep(self._choose_pause_s())
             record = self._make_record()
-            if record == self._written and not self._assert_again_at.is_past():
+            if record == self._last_record and not self._repeat_at.is_past():
                 continue
             try:
                 await self._append(record)
             except ports.PortError:
-                # The tail reads the same log and reports its outage; a
-                # record that is missing only lets a host look lagging.
+                # The configuration tail reads the same log and reports the
+                # outage. A missing record only makes hosts appear lagging.
                 continue
 
     def _choose_pause_s(self) -> float:
-        shared = self._hosts.count_entries() / _APPENDS_PER_S
+        shared_pause_s = self._hosts.count_entries() / _APPENDS_PER_S
         jitter = random.uniform(1 - _JITTER, 1 + _JITTER)
-        return max(_LEAST_PAUSE_S, shared) * jitter
+        return max(_MIN_PAUSE_S, shared_pause_s) * jitter
 
     def _make_record(self) -> status_records.StatusRecord:
         offset = self._tail.state.offset
@@ -83,5 +86,5 @@
         await self._log.append_record(
             status_records.STATUS_STREAM, status_records.encode_status(record)
         )
-        self._written = record
-        self._assert_again_at = deadlines.make_deadline(_ASSERT_AGAIN_MS)
+        self._last_record = record
+        self._repeat_at = deadlines.make_deadline(_REPEAT_MS)
