--- a/packages/gentianpoint-entry/features/tail_builders.py
+++ b/packages/gentianpoint-entry/features/tail_builders.py
@@ -1,4 +1,7 @@
-"""Simulates an entry whose log service stops answering for some time."""
+"""Simulates an entry whose log service stops answering for some time.
+
+The outage is simulated below the HTTP adapter of the log.
+"""
 
 import base64
 from collections import abc
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/caller_sockets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/caller_sockets.py
@@ -26,7 +26,8 @@
     """Hypercorn's configuration, with options set on caller sockets."""
 
     silence_ms = 0
-    """Longest time without progress of a caller, milliseconds; 0 for none."""
+    """Longest time for which sent bytes may stay unread, milliseconds; 0 for
+    no limit."""
 
     def create_sockets(self) -> hypercorn.config.Sockets:
         """Create the listening sockets; accepted ones inherit the options."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_answers.py
@@ -105,9 +105,13 @@
     }
 
 
-def describe_in_force(found: status_tracker.InForce) -> InForceRow:
+def describe_in_force(progress: status_tracker.InForce) -> InForceRow:
     """Return the JSON object for the hosts that have a change."""
-    return {"n": found.n, "of": found.of, "lagging": list(found.lagging)}
+    return {
+        "n": progress.in_force_count,
+        "of": progress.live_count,
+        "lagging": list(progress.lagging),
+    }
 
 
 def make_json_answer(body: object, status: int = 200) -> quart.Response:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -112,13 +112,13 @@
         )
         if outcome.accepted:
             self._track(outcome)
-            found = self._state.tail.state.find_resource(
+            resource = self._state.tail.state.find_resource(
                 outcome.kind, outcome.name
             )
             # A specification that a later change replaced is not kept; the
             # later change is reported with its own.
-            if found is not None and found.revision == outcome.offset:
-                row["spec"] = msgspec.json.decode(found.spec)
+            if resource is not None and resource.revision == outcome.offset:
+                row["spec"] = msgspec.json.decode(resource.spec)
         return _encode_line("change", row)
 
     def _track(self, outcome: configuration.ChangeOutcome) -> None:
@@ -133,22 +133,25 @@
 
     def _encode_in_force(self) -> abc.Iterator[bytes]:
         for offset, last_count in tuple(self._tracked_counts.items()):
-            found = self._state.tracker.count_in_force(offset)
-            if found.n != last_count:
-                self._tracked_counts[offset] = found.n
-                yield self._encode_count(offset, found)
-            if found.of and found.n == found.of:
+            progress = self._state.tracker.count_in_force(offset)
+            if progress.in_force_count != last_count:
+                self._tracked_counts[offset] = progress.in_force_count
+                yield self._encode_count(offset, progress)
+            if (
+                progress.live_count
+                and progress.in_force_count == progress.live_count
+            ):
                 self._untrack(offset)
 
     def _encode_count(
-        self, offset: int, found: status_tracker.InForce
+        self, offset: int, progress: status_tracker.InForce
     ) -> bytes:
         return _encode_line(
             "in_force",
             {
                 "change": self._tracked_changes[offset],
                 "revision": offset,
-                **change_answers.describe_in_force(found),
+                **change_answers.describe_in_force(progress),
             },
         )
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_writer.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_writer.py
@@ -29,7 +29,7 @@
 
 
 class SnapshotWriter:
-    """Writes a snapshot when the newest one is too old or lags too far."""
+    """Writes a snapshot when the newest is too old or too far behind."""
 
     def __init__(
         self,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
@@ -42,9 +42,9 @@
 def digest_name(host: str) -> bytes:
     """Return the digest that identifies an agent's host.
 
-    With five bytes, two of 2,700 names have the same digest in one deployment
-    of some 300,000. One of the two hosts would then count as up to date when
-    the other one is.
+    With five bytes, two of 2,700 names collide in one of about 300,000
+    deployments. One of the two hosts would then count as up to date when the
+    other one is.
     """
     return xxhash.xxh64_digest(host.encode())[:_DIGEST_BYTES]
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_tracker.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_tracker.py
@@ -41,16 +41,19 @@
 class InForce(typing.NamedTuple):
     """On how many live hosts a change is in force."""
 
-    n: int
+    in_force_count: int
     """Number of live hosts on which it is known to be in force."""
-    of: int
+    live_count: int
     """Number of live hosts in the host list, entries and agents."""
     lagging: abc.Sequence[str]
     """Names of the other hosts, sorted, up to a maximum number."""
 
 
 class StatusTracker:
-    """Tracks the highest offset that each host is known to have."""
+    """Tracks the highest offset that each host is known to have.
+
+    ``version`` grows with each change that a watcher may have to see.
+    """
 
     def __init__(
         self,
@@ -153,7 +156,9 @@
 
     def count_in_force(self, offset: int) -> InForce:
         """Return where the change at ``offset`` is in force."""
-        confirmed = {self._hosts.own_name} if self._has(offset) else set()
+        confirmed = (
+            {self._hosts.own_name} if self._is_in_force_here(offset) else set()
+        )
         confirmed.update(
             status_writer.list_agents_in_force(self._list_links(), offset)
         )
@@ -173,5 +178,5 @@
             sorted(lagging)[:_MAX_LAGGING],
         )
 
-    def _has(self, offset: int) -> bool:
+    def _is_in_force_here(self, offset: int) -> bool:
         return self._tail.state.offset >= offset
