--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -55,7 +55,7 @@
 
     def is_compacted(self) -> bool:
         """Tell whether changes after the cursor are no longer kept."""
-        return self._cursor < self._state.tail.state.find_oldest_watchable()
+        return self._cursor < self._state.tail.state.find_oldest_watch_offset()
 
     async def stream_lines(self) -> abc.AsyncGenerator[bytes, None]:
         """Yield lines until the watcher disconnects or its cursor expires."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/configuration_sender.py
@@ -55,9 +55,9 @@
             if content != sent:
                 await link.send(message)
                 sent = content
-                link.note_told(offset)
+                link.record_sent_offset(offset)
             else:
-                link.note_covered(offset)
+                link.record_unchanged_offset(offset)
             # A change that was applied during the send has already been
             # announced. Waiting now would miss it, and the agent would keep
             # the old resource until some later change.
