--- a/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
+++ b/packages/gentianpoint-entry/features/steps/configuration_sender_steps.py
@@ -62,10 +62,10 @@
             self._tail.change_service()
 
     def record_sent_offset(self, offset):
-        """Take no note."""
+        """Ignore the offset."""
 
     def record_unchanged_offset(self, offset):
-        """Take no note."""
+        """Ignore the offset."""
 
 
 class FakeConnection:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_client.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_client.py
@@ -24,6 +24,7 @@
 )
 
 _ANSWER_TIMEOUT_S: typing.Final = 20.0
+"""Timeout of a call to one entry, seconds."""
 _WATCH_TIMEOUT_S: typing.Final = 15.0
 """Time without a line after which a watch is ended, seconds."""
 _PLURALS: typing.Final = {"service": "services", "customer": "customers"}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -25,6 +25,7 @@
 _COMPACTED_CODE: typing.Final = "compacted"
 _COMPACTED_STATUS: typing.Final = 410
 _HEARTBEAT_S: typing.Final = 3.0
+"""Time without another line after which a heartbeat is sent, seconds."""
 _MAX_WATCHERS: typing.Final = 64
 _MAX_TRACKED: typing.Final = 64
 """Number of changes per watcher whose progress on the hosts is reported."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/snapshot_store.py
@@ -17,6 +17,7 @@
 __all__ = ("read_newest_entry", "read_newer_state", "write_snapshot")
 
 _IDENTIFIER_BYTES: typing.Final = 8
+"""Length of a snapshot's identifier, random bytes."""
 _TRIED_ENTRIES: typing.Final = 8
 """Number of the latest index entries whose snapshots are tried."""
 _PARTS_AT_ONCE: typing.Final = 4
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_records.py
@@ -26,6 +26,7 @@
 STATUS_STREAM: typing.Final = "configuration-status"
 """Stream of the log that holds the records."""
 _DIGEST_BYTES: typing.Final = 5
+"""Length of a digest, bytes."""
 
 
 class StatusRecord(typing.NamedTuple):
