--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -133,10 +133,10 @@
 
     def count_links(self, processes: int) -> int:
         """Return a process's links for a service, of so many on its host."""
-        return link_pool.count_links(
+        return link_pool.compute_link_count(
             AGENTS // SERVICES,
             ENTRIES * processes,
-            link_pool.share_links(
+            link_pool.compute_min_links(
                 _read_default("entry", "links-per-service"), processes
             ),
         )
@@ -179,7 +179,7 @@
 
     def hosts_pause_s(self, processes: int = 1) -> float:
         """Return the time between a process's readings of the host list."""
-        pause_ms = host_watch.compute_pause_ms(
+        pause_ms = host_watch.compute_poll_interval_ms(
             1000, round(self.hosts_bytes()), processes
         )
         return pause_ms / 1000
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/entry.py
@@ -42,7 +42,7 @@
 from gentianpoint_entry import plain_routes
 from gentianpoint_entry import request_options
 from gentianpoint_entry import snapshot_writer
-from gentianpoint_entry import status_board
+from gentianpoint_entry import status_tracker
 from gentianpoint_entry import status_writer
 from gentianpoint_entry.generated import settings as entry_settings
 
@@ -66,10 +66,10 @@
 
 
 def _make_app(
-    state: entry_state.EntryState, board: status_board.StatusBoard
+    state: entry_state.EntryState, board: status_tracker.StatusTracker
 ) -> quart_trio.QuartTrio:
     app = quart_trio.QuartTrio(__name__)
-    app.asgi_app = open_calls.CallCloser(  # type: ignore[method-assign]
+    app.asgi_app = open_calls.ClosingMiddleware(  # type: ignore[method-assign]
         app.asgi_app
     )
     app.config["MAX_CONTENT_LENGTH"] = state.settings.max_body_bytes
@@ -116,13 +116,13 @@
 
     @app.errorhandler(errors.CallError)
     async def answer_error(error: errors.CallError) -> quart.Response:
-        return error_answers.make_error_answer(error)
+        return error_answers.make_error_response(error)
 
     @app.errorhandler(exceptions.HTTPException)
     async def answer_http_error(
         error: exceptions.HTTPException,
     ) -> quart.Response:
-        return error_answers.make_http_error_answer(error)
+        return error_answers.make_http_error_response(error)
 
     @app.get(_HEALTH_PATH)
     async def tell_health() -> quart.Response:
@@ -138,7 +138,7 @@
 
 async def _serve_http(
     state: entry_state.EntryState,
-    board: status_board.StatusBoard,
+    board: status_tracker.StatusTracker,
     stop: trio.Event,
 ) -> None:
     config = caller_sockets.CallerConfig()
@@ -213,17 +213,17 @@
         incarnation = secrets.token_hex(_INCARNATION_BYTES)
         log = http_log.HttpLog(settings.log_url, client)
         live = live_hosts.LiveHosts(settings.name)
-        peers = peer_state.PeerStates(live, client, settings.peer_key)
+        peers = peer_state.PeerStateClient(live, client, settings.peer_key)
         tail = configuration_tail.ConfigurationTail(log, peers)
         writer = snapshot_writer.SnapshotWriter(log, tail, live, settings)
         sender = configuration_sender.ConfigurationSender(tail, live)
         pool = link_pool.LinkPool(
             nursery,
             _make_link_settings(settings, incarnation),
-            link_pool.share_links(
+            link_pool.compute_min_links(
                 settings.links_per_service, settings.processes_on_host
             ),
-            sender.send_for_ever,
+            sender.send_updates,
         )
         dispatcher = dispatch.Dispatcher(
             pool,
@@ -233,7 +233,9 @@
             settings.window_items,
         )
         keys = key_claims.KeyClaims(
-            claim_streams.ClaimStreams(log, claim_rates.ClaimRate(live)),
+            claim_streams.ClaimStreams(
+                log, claim_rates.ClaimRateLimiter(live)
+            ),
             dispatcher,
             tail,
         )
@@ -250,7 +252,9 @@
             settings.hosts_poll_ms,
             settings.processes_on_host,
         )
-        board = status_board.StatusBoard(log, tail, live, pool.list_all_links)
+        board = status_tracker.StatusTracker(
+            log, tail, live, pool.list_all_links
+        )
         nursery.start_soon(writer.run)
         nursery.start_soon(board.run)
         nursery.start_soon(
