--- a/packages/gentianpoint-core/features/upgrades.feature
+++ b/packages/gentianpoint-core/features/upgrades.feature
@@ -4,9 +4,9 @@
   would serve callers that the other half refuses.
 
   Scenario: the rules of the fold are those of the first version
-  Guards against changes to the schema that the fold validates against. Old
-  processes would then accept a record that new ones refuse, their
-  configurations would differ permanently, and no event would report it.
+  Guards against a change, such as a new field, to the schema that the fold
+  validates against. Old processes would accept a record that new ones refuse,
+  their configurations would differ permanently, and no event would report it.
 
     Then the digest of the rules of the fold is 0a5e0281fcfb29d2
 
