--- a/packages/gentianpoint-entry/features/answer_formats.feature
+++ b/packages/gentianpoint-entry/features/answer_formats.feature
@@ -1,11 +1,12 @@
-Feature: Events of a stream carry each token's text as it is
-  What stands around a token's text is encoded once for a whole answer. A
-  text that needs escapes, or looks like what stands around it, must not
-  break the event: a caller's library would fail on it in mid-answer.
+Feature: Streamed events contain the exact text of each token
+  The JSON around a token's text is encoded once for the whole answer. A text
+  that needs escaping, or that resembles the surrounding JSON, must not
+  corrupt the event, since the caller's client library would then fail in the
+  middle of the answer.
 
-  Scenario Outline: texts that need escapes
+  Scenario Outline: token texts that need escaping
     Given an answer in the <form> format
-    When the events of these texts are encoded from item 7 on
+    When events with these texts are encoded, numbered from 7
       | text            |
       | praia           |
       | a "quoted" \ é  |
@@ -13,7 +14,7 @@
       | line\nbreak     |
       | {"text":"x"}    |
       |                 |
-    Then each event has its number, its text and the answer's identifier
+    Then each event has its number, its text and the generation's identifier
 
     Examples:
       | form       |
--- a/packages/gentianpoint-entry/features/claim_builders.py
+++ b/packages/gentianpoint-entry/features/claim_builders.py
@@ -1,4 +1,4 @@
-"""A log of one stream that does what its script says."""
+"""A fake log with one stream and scripted failures."""
 
 from collections import abc
 import typing
@@ -10,13 +10,13 @@
 from gentianpoint_core.generated import messages
 from gentianpoint_entry import claim_streams
 
-__all__ = ("MINE", "OTHERS", "ScriptedLog", "make_request")
+__all__ = ("OWN_CLAIM", "OTHER_CLAIM", "ScriptedLog", "make_request")
 
-MINE: typing.Final = claim_streams.KeyClaim(b"digest", "mine")
-"""The claim of the entry that is looked at."""
-OTHERS: typing.Final = claim_streams.KeyClaim(b"digest", "others")
-"""The claim of another entry."""
-_OTHER: typing.Final = "follow another entry's"
+OWN_CLAIM: typing.Final = claim_streams.KeyClaim(b"digest", "mine")
+"""Claim of the entry under test."""
+OTHER_CLAIM: typing.Final = claim_streams.KeyClaim(b"digest", "others")
+"""Claim of another entry."""
+_OTHER_FIRST: typing.Final = "follow another entry's"
 
 
 def _encode(claim: claim_streams.KeyClaim) -> bytes:
@@ -24,7 +24,7 @@
 
 
 def make_request(**changes: typing.Any) -> messages.Request:
-    """Return a request with ``changes``."""
+    """Return a request with some fields replaced by ``changes``."""
     request: messages.Request = {
         "kind": "plain",
         "prompt": "a",
@@ -38,10 +38,10 @@
 
 
 class ScriptedLog(ports.Log):
-    """Answers each append as the next line of the script says."""
+    """Log that handles each append as the next script step says."""
 
     def __init__(self, script: abc.Sequence[str] = ()) -> None:
-        """Keep no record; a script that is spent repeats its last line."""
+        """Start without records; the last step of the script repeats."""
         self.records: typing.Final[list[bytes]] = []
         self.first = 1
         self.appends = 0
@@ -50,19 +50,19 @@
         self._late: typing.Optional[bytes] = None
 
     def put_records(self, words: str) -> None:
-        """Have the records that a table's words name."""
+        """Add the records that a table cell describes."""
         match words:
             case "one claim" | "an expired claim":
-                self.records.append(_encode(OTHERS))
+                self.records.append(_encode(OTHER_CLAIM))
             case "two claims" | "an expired claim and another":
-                self.records += [_encode(OTHERS), _encode(MINE)]
+                self.records += [_encode(OTHER_CLAIM), _encode(OWN_CLAIM)]
             case "a claim that can't be read":
                 self.records.append(b"\xff")
         if "expired" in words:
             self.first = 2
 
     async def append_record(self, stream: str, data: bytes) -> int:
-        """Append as the script says."""
+        """Append a record, or fail, as the next step says."""
         self.appends += 1
         step = self._script[0]
         if len(self._script) > 1:
@@ -70,7 +70,7 @@
         if self._late is not None:
             self.records.append(self._late)
             self._late = None
-        if step.startswith(_OTHER):
+        if step.startswith(_OTHER_FIRST):
             self._let_other_be_first(step)
         if step == "are refused":
             raise _fail(took_effect=False)
@@ -90,14 +90,14 @@
 
     def _let_other_be_first(self, step: str) -> None:
         broken = "can't be read" in step
-        self.records.append(b"\xff" if broken else _encode(OTHERS))
+        self.records.append(b"\xff" if broken else _encode(OTHER_CLAIM))
         if "expired" in step:
             self.first = 2
 
     async def read_records(
         self, stream: str, start: int, limit: int, wait_ms: int
     ) -> ports.LogSlice:
-        """Read what is kept."""
+        """Return the records that have not expired, or fail."""
         if self.reading == "refuses to read":
             raise _fail(took_effect=False)
         if self.reading == "answers nothing":
--- a/packages/gentianpoint-entry/features/claim_streams.feature
+++ b/packages/gentianpoint-entry/features/claim_streams.feature
@@ -1,11 +1,11 @@
-Feature: The first claim in a key's stream holds
-  Two entries claim one key, and the log's answers are late or lost. If both
-  took the key for theirs, the report that it stands for would be billed
-  twice.
+Feature: The first claim in a key's stream is the valid one
+  Two entries claim the same key while replies of the log are late or lost. If
+  both entries considered the key theirs, the caller's request would run and
+  be billed twice.
 
-  Scenario Outline: what becomes of a claim
-  An entry found the key free and appends its claim. Something happens to the
-  append, or another entry was faster.
+  Scenario Outline: the outcome of a claim
+  An entry finds the key free and appends its claim. The append fails in some
+  way, or another entry has appended its claim first.
 
     Given a log whose next appends <appends>
     When an entry claims a free key
@@ -28,9 +28,8 @@
       | follow another entry's that expired             | the entry says outcome_unknown       | 1     |
       | follow another entry's that can't be read       | the entry says outcome_unknown       | 1     |
 
-  Scenario Outline: what a key names
-  A call comes with a key, and the entry looks up what it names before it
-  does anything.
+  Scenario Outline: looking up a key
+  An entry looks up the claim of a call's key before it does anything else.
 
     Given a key's stream with <records>
     When an entry looks the key up
@@ -46,31 +45,31 @@
       | a claim that can't be read   | the entry says outcome_unknown |
 
   Scenario Outline: a log that can't be read
-  The log is out, or does not answer at all. The call must have its final
-  answer soon, and it must not be that the report did not run.
+  The log fails or does not answer. The call must get its final outcome
+  soon. That must not be not_run, since an earlier call may have run.
 
     Given a log that <does>
     When an entry looks the key up
     Then the entry says outcome_unknown
-    And the caller is told when to come back
+    And the caller is told when to retry
 
     Examples:
       | does              |
       | refuses to read   |
       | answers nothing   |
 
-  Scenario: claims leave the log's rate to operators
-  A customer sends a key with each of its many calls. If all were appended at
-  once the log would refuse operators' changes.
+  Scenario: claims do not use up the log's rate limit
+  A customer sends a key with each of its many calls. If all claims were
+  appended at once, the log would refuse operators' changes.
 
     Given a log whose next appends work
     When an entry of 10 claims 100 free keys at once
     Then 20 of the claims were appended and the others refused
     And after 1 second 20 more are appended
 
-  Scenario Outline: what a key's request is compared by
-  A program uses a key twice. Its second request is the same only when a
-  target would be asked the same.
+  Scenario Outline: comparing two requests with the same key
+  A program uses a key twice. The requests count as equal only if they ask
+  the target for the same work.
 
     Given the digest of a request
     When another request differs in <what>
@@ -87,6 +86,6 @@
       | body       | differ |
       | headers    | agree  |
 
-  Scenario: streams of keys keep customers apart
+  Scenario: different customers never share a key's stream
     Then the streams of the customer "a" with the key "bc" and of "ab" with "c" differ
-    And no stream's name has the customer or the key in it
+    And the name of a stream contains neither the customer nor the key
--- a/packages/gentianpoint-entry/features/link_builders.py
+++ b/packages/gentianpoint-entry/features/link_builders.py
@@ -1,4 +1,4 @@
-"""Builders of links that have reports but no connection."""
+"""Builders of links with reports but without a connection."""
 
 import typing
 
@@ -14,7 +14,7 @@
 
 
 def make_link(name: str, data_centre: str) -> agent_links.AgentLink:
-    """Return the link to an agent that has not reported yet."""
+    """Return a link to an agent that has sent no report yet."""
     host = ports.Host(
         name, "agent", "service", name, "127.0.0.1:1", data_centre, "live"
     )
@@ -22,7 +22,7 @@
 
 
 def make_report(**more: typing.Any) -> messages.Report:
-    """Return the report of a target with ten calls and half its memory."""
+    """Return a report of ten running calls that use half the memory."""
     report: dict[str, typing.Any] = {
         "type": "report",
         "running": 10,
@@ -37,8 +37,10 @@
     return typing.cast(messages.Report, {**report, **more})
 
 
-def take_word(link: agent_links.AgentLink, word: str, value: float) -> None:
-    """Let an agent report a figure by the word of a table."""
+def report_figure(
+    link: agent_links.AgentLink, word: str, value: float
+) -> None:
+    """Store a report with the figure that a table cell names."""
     match word:
         case "memory":
             link.store_report(make_report(memory_predicted=value))
--- a/packages/gentianpoint-entry/features/link_pool.feature
+++ b/packages/gentianpoint-entry/features/link_pool.feature
@@ -1,12 +1,12 @@
-Feature: Connections enough for every agent, and no more
-  An entry connects to some agents of each service. With few of them agents
-  stand idle beside a crowded one; with many, heartbeats and reports alone
-  break a node's budget for control.
+Feature: Entries connect to enough agents, but not to too many
+  An entry connects to some agents of each service. With too few connections
+  some agents stay idle while others are overloaded; with too many, heartbeats
+  and reports alone exceed a node's budget for control traffic.
 
-  Scenario Outline: the number of connections follows the deployment
-  A deployment grows from one entry to hundreds. An operator of a small one
-  would notice targets that never get a call, one of a large one would notice
-  control traffic that grows with the product of both.
+  Scenario Outline: the number of connections depends on the deployment's size
+  A deployment grows from one entry to hundreds. With a fixed number of
+  connections, targets of a small deployment would never get a call, or the
+  control traffic of a large one would grow with entries times agents.
 
     Given <entries> entries and <agents> agents of a service
     When each entry chooses its agents with at least <fewest>
@@ -20,11 +20,11 @@
       | 2       | 12     | 4      | 12    | 2     |
       | 60      | 40     | 4      | 4     | 1     |
 
-  Scenario Outline: reports come less often to an entry with many connections
-  Reports are the largest part of control traffic. An operator would notice
-  an entry whose control traffic grows with every service.
+  Scenario Outline: an entry with many connections gets reports less often
+  Reports are the largest part of the control traffic, which must not grow
+  with every service.
 
-    When an entry with <links> connections greets its agents
+    When an entry with <links> connections sends its greeting to agents
     Then it asks for reports at least <period> ms apart
 
     Examples:
@@ -32,17 +32,17 @@
       | 3     | 500    |
       | 44    | 7333   |
 
-  Scenario: the entries of a host share the bytes of reports
-  Two processes on a host that each asked for reports as if alone would spend
-  the budget of two hosts.
+  Scenario: the entries of a host share its budget for reports
+  If each of a host's two processes requested reports as if it were alone,
+  together they would use the budget of two hosts.
 
-    When one of 2 entries of a host with 22 connections greets an agent
+    When one of 2 entries of a host with 22 connections sends its greeting
     Then it asks for reports at least 7333 ms apart
 
   Scenario Outline: the entries of a host share its connections
-  A host runs several entry processes to carry its tokens. If each took what
-  one alone may, its operator would see control traffic of several hosts; if
-  they took too few, agents would stand idle.
+  A host runs several entry processes to handle its token rate. If each opened
+  as many connections as a single process may, the host would cause the
+  control traffic of several hosts; with too few, agents would stay idle.
 
     Given a host with <processes> entry processes among <entries> entries
     When each entry chooses among <agents> agents of a service
@@ -55,19 +55,19 @@
       | 2         | 120     | 30     | 4     |
       | 3         | 180     | 30     | 6     |
 
-  Scenario: all agents that an entry has of a service are gone at once
-  A switch takes the few agents that an entry has connections to. The host
-  list shows it minutes later. Until then callers would be refused, though
-  other agents of the service are idle.
+  Scenario: all connected agents of a service become unreachable at once
+  A failed network switch cuts off all agents of a service that an entry is
+  connected to, which the host list reflects only minutes later. Until then
+  calls would be refused although other agents of the service are idle.
 
     Given an entry with 2 connections to a service of 5 agents
-    When nobody listens at the addresses of its agents
+    When no process listens at the addresses of its agents
     Then it connects to the 2 agents next in its order
     And it tries no more than 4 agents at a time
 
-  Scenario: a report without prefixes keeps those that were told before
-  Prefixes come less often than the load. An entry that forgot them with each
-  report between would place calls as if no cache were warm.
+  Scenario: a report without prefixes keeps the prefixes reported before
+  Prefixes are reported less often than the load. If each report without them
+  cleared the known ones, calls would be placed as if no cache were warm.
 
     Given a link whose agent reported 3 prefixes
     When a report without prefixes comes
@@ -76,8 +76,8 @@
     Then the link knows 1 prefixes
 
   Scenario Outline: a long host list is read less often
-  Thousands of hosts make a list of hundreds of kilobytes. Read each second
-  it would be nearly all of an entry's traffic without callers.
+  With thousands of hosts the list has hundreds of kilobytes. If it were read
+  each second, it would make up nearly all traffic of an idle entry.
 
     When one of <processes> entries of a host reads <size> bytes of host list
     Then the next reading comes after <pause> ms
--- a/packages/gentianpoint-entry/features/open_calls.feature
+++ b/packages/gentianpoint-entry/features/open_calls.feature
@@ -1,13 +1,13 @@
-Feature: A request's call is closed whatever becomes of its answer
-  An entry that is told to stop waits for its open calls. One that nobody
-  closes would hold up the shutdown until the longest time that it may take.
+Feature: The call of a request is closed however the request ends
+  An entry that shuts down waits for its open calls. A call that is never
+  closed would delay the shutdown until its time limit.
 
-  Scenario Outline: the caller goes away while <moment>
-  A caller's connection ends at the worst moment: the first token has come, but
-  the answer's body has not been begun, or is about to be written.
+  Scenario Outline: the caller disconnects while <moment>
+  The caller's connection ends after the first token has arrived, but before
+  the response body is started or while it is about to be written.
 
     Given a route that streams a generation
-    When its caller goes away while <moment>
+    When its caller disconnects while <moment>
     Then its call is closed
 
     Examples:
@@ -16,10 +16,10 @@
       | the first part is written |
       | nothing is missing       |
 
-  Scenario: the answer's head can't be made
-  A plain service answers with a header that can't be passed on. The caller
-  gets an error; the service's answer is let go.
+  Scenario: the response headers can't be created
+  A plain service answers with an invalid header. The caller gets an error;
+  the service's answer is discarded.
 
     Given a route that fails after its call was answered
-    When its caller goes away while nothing is missing
+    When its caller disconnects while nothing is missing
     Then its call is closed
--- a/packages/gentianpoint-entry/features/placement.feature
+++ b/packages/gentianpoint-entry/features/placement.feature
@@ -1,9 +1,10 @@
-Feature: Which target an entry offers a call to
-  An entry sees each target only by reports that are old when they come. If it
-  took them for the truth, all entries would run to the target that seemed
-  free a moment ago, and callers would wait in its queue beside idle engines.
+Feature: Placement of calls on targets
+  An entry knows the load of targets only from reports that are out of date
+  when they arrive. If it relied on them alone, all entries would choose the
+  target that was idle a moment ago, and calls would queue there while other
+  engines are idle.
 
-  Scenario Outline: the less crowded of two gets the call
+  Scenario Outline: the less loaded of two targets gets the call
     Given target a in north that reports <a>
     And target b in north that reports <b>
     When 20 calls are placed without sending
@@ -34,18 +35,18 @@
       | 1       | all   |
       | 20      | none  |
 
-  Scenario: what the entry has sent itself counts before the next report
+  Scenario: calls that the entry sent count until the next report
     Given target a in north that reports memory 0.30
     And target b in north that reports memory 0.35
     When 40 calls are placed and sent
     Then a gets some of them
     And b has got at least 15
 
-  Scenario Outline: a held prefix draws a call, but load overrides it
+  Scenario Outline: a cached prefix attracts calls unless the target is full
     Given target a in north that reports memory <a>
     And target b in north that reports memory 0.4
     And target c in north that reports memory 0.4
-    And a holds <held> of the 4 chunks of a prompt
+    And a caches <held> of the 4 chunks of a prompt
     When 20 calls with that prompt are placed without sending
     Then a gets <share> of them
 
@@ -56,7 +57,7 @@
       | 0.5  | 0    | none  |
       | 0.6  | 2    | none  |
 
-  Scenario Outline: the own data centre comes first until it is full
+  Scenario Outline: the local data centre is preferred until it is full
     Given target a in north that reports <a>
     And target b in south that reports <b>
     When 20 calls are placed without sending
@@ -69,7 +70,7 @@
       | refusal    | memory 0.1 | none  |
       | memory 1.3 | memory 1.2 | all   |
 
-  Scenario: a target that is slow but alive gets less and is tried again
+  Scenario: a slow target gets few calls until it recovers
     Given target a in north that reports pace 200
     And target b in north that reports pace 20
     And target c in north that reports pace 22
@@ -80,7 +81,7 @@
     And 60 calls are placed, one every 0.1 s, with fresh reports
     Then of the last 60 a has got 5 or more
 
-  Scenario Outline: the baselines choose in their own plain ways
+  Scenario Outline: the baseline policies ignore the reported load
     Given target a in north that reports memory 0.1
     And target b in north that reports memory 0.9
     When 20 calls are placed by <policy>
--- a/packages/gentianpoint-entry/features/steps/answer_formats_steps.py
+++ b/packages/gentianpoint-entry/features/steps/answer_formats_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the formats of streamed answers."""
+"""Steps for the encoding of streamed answers."""
 
 import json
 
@@ -7,7 +7,7 @@
 from gentianpoint_entry import answer_formats
 from gentianpoint_entry import call_requests
 
-FORMS = {
+FORMATS = {
     "completion": answer_formats.CompletionFormat,
     "chat": answer_formats.ChatFormat,
 }
@@ -17,10 +17,10 @@
 
 @behave.given("an answer in the {form} format")
 def make_format(context, form):
-    context.format = FORMS[form](GENERATION, "modelo-taller")
+    context.format = FORMATS[form](GENERATION, "modelo-taller")
 
 
-@behave.when("the events of these texts are encoded from item {first:d} on")
+@behave.when("events with these texts are encoded, numbered from {first:d}")
 def encode(context, first):
     context.first = first
     context.texts = [
@@ -34,16 +34,18 @@
     return choice["text"] if "text" in choice else choice["delta"]["content"]
 
 
-@behave.then("each event has its number, its text and the answer's identifier")
+@behave.then(
+    "each event has its number, its text and the generation's identifier"
+)
 def check_events(context):
     events = context.data.decode().split("\n\n")
     assert events.pop() == "", events
     assert len(events) == len(context.texts), events
-    for place, (event, text) in enumerate(
+    for index, (event, text) in enumerate(
         zip(events, context.texts, strict=True)
     ):
         number, _, data = event.partition("\n")
-        assert number == f"id: {context.first + place}", event
-        frame = json.loads(data.removeprefix("data: "))
-        assert read_text(frame["choices"][0]) == text, (event, text)
-        assert frame["id"] == GENERATION, event
+        assert number == f"id: {context.first + index}", event
+        envelope = json.loads(data.removeprefix("data: "))
+        assert read_text(envelope["choices"][0]) == text, (event, text)
+        assert envelope["id"] == GENERATION, event
--- a/packages/gentianpoint-entry/features/steps/claim_streams_steps.py
+++ b/packages/gentianpoint-entry/features/steps/claim_streams_steps.py
@@ -25,7 +25,7 @@
 
 
 def run(context, call):
-    """Run ``call(streams)`` on a clock that jumps, and note what came."""
+    """Run ``call(streams)`` on a mock clock and store its result."""
 
     async def main():
         rate = claim_rates.ClaimRateLimiter(make_hosts(1))
@@ -61,7 +61,7 @@
 def claim(context):
     run(
         context,
-        lambda streams: streams.make_claim(STREAM, claim_builders.MINE),
+        lambda streams: streams.make_claim(STREAM, claim_builders.OWN_CLAIM),
     )
 
 
@@ -72,12 +72,15 @@
 
 @behave.then("its own claim holds")
 def check_own(context):
-    assert context.found == claim_builders.MINE, (context.found, context.error)
+    assert context.found == claim_builders.OWN_CLAIM, (
+        context.found,
+        context.error,
+    )
 
 
 @behave.then("the other entry's claim holds")
 def check_other(context):
-    assert context.found == claim_builders.OTHERS, context.error
+    assert context.found == claim_builders.OTHER_CLAIM, context.error
 
 
 @behave.then("the key is free")
@@ -91,7 +94,7 @@
     assert context.error.code == code, context.error
 
 
-@behave.then("the caller is told when to come back")
+@behave.then("the caller is told when to retry")
 def check_time(context):
     assert context.error.retry_after_ms > 0
 
@@ -105,9 +108,9 @@
 def claim_many(context, entries, count):
     async def main():
         rate = claim_rates.ClaimRateLimiter(make_hosts(entries))
-        context.taken = sum(rate.take() for _ in range(count))
+        context.taken = sum(rate.try_acquire() for _ in range(count))
         await trio.sleep(1)
-        context.taken_later = sum(rate.take() for _ in range(count))
+        context.taken_later = sum(rate.try_acquire() for _ in range(count))
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -158,7 +161,7 @@
     assert key_claims.name_stream(a, b) != key_claims.name_stream(c, d)
 
 
-@behave.then("no stream's name has the customer or the key in it")
+@behave.then("the name of a stream contains neither the customer nor the key")
 def check_name(context):
     name = key_claims.name_stream("rebobinados", "report-17")
     assert "rebobinados" not in name and "report" not in name
--- a/packages/gentianpoint-entry/features/steps/link_pool_steps.py
+++ b/packages/gentianpoint-entry/features/steps/link_pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the choice of connections and their upkeep."""
+"""Steps for the selection and maintenance of connections."""
 
 import collections
 
@@ -54,7 +54,9 @@
     assert min(found[host.host] for host in context.agents) >= least, found
 
 
-@behave.when("an entry with {links:d} connections greets its agents")
+@behave.when(
+    "an entry with {links:d} connections sends its greeting to agents"
+)
 def greet(context, links):
     context.period_ms = link_settings.compute_report_ms(links)
 
@@ -72,23 +74,23 @@
 
 
 class FakeConnection:
-    """A connection to an agent that refuses the greeting."""
+    """Connection to an agent that rejects the greeting."""
 
     def __init__(self):
         self.sent = []
 
     async def send(self, message):
-        """Note the message."""
+        """Record the message."""
         self.sent.append(message)
 
     async def receive(self):
-        """Refuse."""
+        """Return a rejection."""
         return {"type": "reject", "reason": "only the greeting is wanted"}
 
 
 @behave.when(
-    "one of {processes:d} entries of a host with {links:d} connections greets "
-    "an agent"
+    "one of {processes:d} entries of a host with {links:d} connections sends "
+    "its greeting"
 )
 def greet_one(context, processes, links):
     settings = link_settings.LinkSettings(
@@ -141,7 +143,7 @@
     ]
 
 
-async def sleep_for_ever(link):
+async def sleep_forever(link):
     await trio.sleep_forever()
 
 
@@ -149,7 +151,7 @@
     return [link.host.host for link in pool.list_links("modelo-taller")]
 
 
-@behave.when("nobody listens at the addresses of its agents")
+@behave.when("no process listens at the addresses of its agents")
 def lose_agents(context):
     settings = link_settings.LinkSettings(
         "entry-1", "run", DATA_CENTRE, "", 1000, 3000, 256, 1024
@@ -158,14 +160,14 @@
     async def follow():
         async with trio.open_nursery() as nursery:
             pool = link_pool.LinkPool(
-                nursery, settings, context.links, sleep_for_ever
+                nursery, settings, context.links, sleep_forever
             )
             pool.update_hosts(context.hosts)
             context.first = list_hosts(pool)
             context.tried = [context.first]
             with trio.fail_after(WITHIN_S):
-                # The agents taken in place of the first fail too, and are
-                # passed over in their turn if there is room for more.
+                # The replacement agents fail too, and are replaced in turn as
+                # long as the limit on unreachable agents allows it.
                 while min(row.failures for row in pool.list_all_links()) < 4:
                     await pool.wait_changed()
                     context.tried.append(list_hosts(pool))
--- a/packages/gentianpoint-entry/features/steps/open_calls_steps.py
+++ b/packages/gentianpoint-entry/features/steps/open_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls that are closed with their request."""
+"""Steps for calls that are closed at the end of their request."""
 
 import types
 
@@ -21,13 +21,13 @@
 
 
 class FakeCall:
-    """A call that brings one item, and then its end."""
+    """Call whose answer is one item and a regular end."""
 
     generation = "target~run~1~secret"
     request = types.SimpleNamespace(service="modelo-taller")
 
     def __init__(self):
-        """Have brought nothing yet."""
+        """Start with both parts still to be received."""
         self.closed = False
         self._parts = [
             call_requests.CallPart(1, ("word",), (), "", 0, 0),
@@ -39,16 +39,16 @@
         return self._parts.pop(0)
 
     async def close(self):
-        """Note that it was closed."""
+        """Record that the call was closed."""
         self.closed = True
 
 
-def make_app(call, answer):
+def make_app(call, respond):
     app = quart_trio.QuartTrio("gentianpoint_entry")
 
     @app.get("/")
     async def serve():
-        return await answer(open_calls.keep_call(call))
+        return await respond(open_calls.close_after_request(call))
 
     app.asgi_app = open_calls.ClosingMiddleware(app.asgi_app)
     return app
@@ -56,25 +56,25 @@
 
 @behave.given("a route that streams a generation")
 def make_streaming(context):
-    async def answer(call):
-        answerer = generation_answers.GenerationAnswerer(
+    async def respond(call):
+        responder = generation_answers.GenerationResponder(
             call, answer_formats.CompletionFormat
         )
-        return await answerer.answer_streamed(False)
+        return await responder.make_streamed_response(False)
 
     context.call = FakeCall()
-    context.app = make_app(context.call, answer)
+    context.app = make_app(context.call, respond)
 
 
 @behave.given("a route that fails after its call was answered")
 def make_failing(context):
-    async def answer(call):
+    async def respond(call):
         await call.receive()
         headers = quart.Response("").headers
         headers.add("X-Odd", "a\nb")
 
     context.call = FakeCall()
-    context.app = make_app(context.call, answer)
+    context.app = make_app(context.call, respond)
 
 
 def make_scope():
@@ -96,21 +96,21 @@
     }
 
 
-@behave.when("its caller goes away while {moment}")
-def go_away(context, moment):
+@behave.when("its caller disconnects while {moment}")
+def disconnect(context, moment):
     async def main():
-        gone = trio.Event()
+        disconnected = trio.Event()
         requests = [{"type": "http.request", "body": b"", "more_body": False}]
 
         async def receive():
             if requests:
                 return requests.pop()
-            await gone.wait()
+            await disconnected.wait()
             return {"type": "http.disconnect"}
 
         async def send(event):
             if event["type"] == MOMENTS[moment]:
-                gone.set()
+                disconnected.set()
                 await trio.sleep_forever()
 
         await context.app(make_scope(), receive, send)
--- a/packages/gentianpoint-entry/features/steps/placement_steps.py
+++ b/packages/gentianpoint-entry/features/steps/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps for placement, on a clock that only moves when told."""
+"""Steps for placement, on a clock that the scenario advances."""
 
 import behave
 import link_builders
@@ -11,7 +11,7 @@
 _PROMPT = "".join(f"word {number} " for number in range(200))[:1024]
 
 
-def on_clock(context, function, *args):
+def run_at_scenario_time(context, function, *args):
     """Call a function in a trio run at the scenario's time."""
     if "now" not in context:
         context.now = 1000.0
@@ -38,15 +38,15 @@
             context.chosen.append(link.host.host)
             link.sent_since_report += 1 if send else 0
 
-    on_clock(context, choose_all)
+    run_at_scenario_time(context, choose_all)
 
 
 def report(context, name, words):
     word, _, value = words.partition(" ")
     context.words[name] = words
-    on_clock(
+    run_at_scenario_time(
         context,
-        link_builders.take_word,
+        link_builders.report_figure,
         context.links[name],
         word,
         float(value or 0),
@@ -63,7 +63,7 @@
     report(context, name, words)
 
 
-@behave.given("{name} holds {held:d} of the 4 chunks of a prompt")
+@behave.given("{name} caches {held:d} of the 4 chunks of a prompt")
 def hold_prefix(context, name, held):
     digests = prefix_digests.digest_prefixes(_PROMPT)
     assert len(digests) == 4
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
@@ -1,8 +1,8 @@
 """Connections from this entry to agents.
 
-Each agent that the entry wants has one task, which connects, serves the
-connection and connects again after it is lost. Calls share the connection;
-each has a bounded channel on which its messages arrive.
+Each agent that the entry connects to has one task, which connects, serves
+the connection and reconnects after it is lost. All calls to the agent share
+its connection, and each call receives its messages on a bounded channel.
 """
 
 from collections import abc
@@ -25,70 +25,79 @@
 
 _CLOSE_TIMEOUT_S: typing.Final = 0.2
 _OPEN_TIMEOUT_S: typing.Final = 2
-_FIRST_PAUSE_S: typing.Final = 0.05
-_LONGEST_PAUSE_S: typing.Final = 1.0
-_RECOVERY_WITHIN_MS: typing.Final = 5000
-_SPARE_MESSAGES: typing.Final = 16
-_LONGEST_REFUSAL_MS: typing.Final = 1000
-_LAST_MESSAGES: typing.Final = frozenset(
+_INITIAL_BACKOFF_S: typing.Final = 0.05
+_MAX_BACKOFF_S: typing.Final = 1.0
+_RECOVERY_TIMEOUT_MS: typing.Final = 5000
+_EXTRA_CHANNEL_SLOTS: typing.Final = 16
+_MAX_REFUSAL_MS: typing.Final = 1000
+_FINAL_MESSAGE_TYPES: typing.Final = frozenset(
     ("ended", "refused", "prepared", "cancelled")
 )
 
 
-def _is_refusal(error: BaseException) -> bool:
-    """Tell whether nobody listens at the address that was tried."""
+def _is_connection_refused(error: BaseException) -> bool:
+    """Tell whether connecting failed because no process listens."""
     causes = getattr(error.__cause__, "exceptions", (error.__cause__, error))
     return any(isinstance(cause, ConnectionRefusedError) for cause in causes)
 
 
 class LinkCall:
-    """One call on a link, as the dispatcher sees it."""
+    """One call on a link, with the messages that the agent sent for it."""
 
     def __init__(self, link: "AgentLink", number: int, window: int) -> None:
-        """Open the call with its number on the connection."""
+        """Make the call ``number`` of the connection.
+
+        ``window`` is the number of items that may be in flight.
+        """
         self.link: typing.Final = link
         self.number: typing.Final = number
         self._sender: trio.MemorySendChannel[codec.MessageMap]
         self._receiver: trio.MemoryReceiveChannel[codec.MessageMap]
         self._sender, self._receiver = trio.open_memory_channel(
-            window + _SPARE_MESSAGES
+            window + _EXTRA_CHANNEL_SLOTS
         )
 
     async def receive(self) -> typing.Optional[codec.MessageMap]:
-        """Return the next message, or None when the link is lost."""
+        """Return the next message, or None after the link was lost."""
         try:
             return await self._receiver.receive()
         except trio.EndOfChannel:
             return None
 
-    def push(self, message: codec.MessageMap) -> None:
-        """Add a message; raises when the agent sent beyond the window."""
+    def enqueue(self, message: codec.MessageMap) -> None:
+        """Add a message to the channel.
+
+        Raises :class:`peer_connections.PeerConnectionError` when the agent
+        sent more than the window allows.
+        """
         try:
             self._sender.send_nowait(message)
         except trio.WouldBlock as error:
             raise peer_connections.PeerConnectionError(
-                "receive items", self.link.host.host, "more than the window"
+                "receive items",
+                self.link.host.host,
+                "the agent sent more than the window",
             ) from error
         except trio.BrokenResourceError:
             return
 
-    def lose(self) -> None:
-        """Tell the receiver that the link is lost."""
+    def mark_lost(self) -> None:
+        """End the channel, so that the receiver sees the link as lost."""
         self._sender.close()
 
-    def end(self) -> None:
-        """Receive what has come already, and no more."""
+    def stop_receiving(self) -> None:
+        """Drop later messages; those in the channel can still be read."""
         self.link.forget_call(self.number)
-        self.lose()
+        self.mark_lost()
 
     def close(self) -> None:
-        """Receive no more."""
+        """Close the channel and drop all messages of the call."""
         self._receiver.close()
         self.link.forget_call(self.number)
 
 
 class AgentLink:
-    """The connection to one agent, opened again whenever it is lost."""
+    """The connection to one agent, reopened whenever it is lost."""
 
     def __init__(
         self,
@@ -99,9 +108,9 @@
     ) -> None:
         """Make the link to ``host``; :meth:`run` connects.
 
-        ``notify`` is called when the link is connected, lost, or could not
-        be connected; ``links`` is the number of links of this entry, which
-        decides how often the agent is to report.
+        ``notify`` is called when the link connects, is lost or fails to
+        connect. ``links`` is the number of links of this entry, from which
+        the interval between the agent's reports is computed.
         """
         self.host = host
         self.links = links
@@ -118,13 +127,13 @@
             None
         )
         self._calls: typing.Final[dict[int, LinkCall]] = {}
-        self._open: typing.Final[set[int]] = set()
+        self._unfinished_calls: typing.Final[set[int]] = set()
         self._last_call = 0
         self._notify: typing.Final = notify
-        self._told_offset = 0
-        self._covered_offset = 0
+        self._sent_offset = 0
+        self._unchanged_offset = 0
         self._confirmed_offset = 0
-        self._refused = False
+        self._connection_refused = False
         self._recover_by = deadlines.Deadline(0.0)
 
     def is_usable(self) -> bool:
@@ -132,7 +141,7 @@
         return self.is_connected() and not self.leaving
 
     def is_connected(self) -> bool:
-        """Tell whether the agent was greeted on a live connection."""
+        """Tell whether a connection is open and its handshake is done."""
         return self._connection is not None
 
     def count_calls(self) -> int:
@@ -140,37 +149,38 @@
         return len(self._calls)
 
     def is_recovering(self) -> bool:
-        """Tell whether the link was lost a moment ago.
+        """Tell whether the link was lost a moment ago and may soon reconnect.
 
-        A connection that was cut comes back at once; where the agent's
-        process is gone, its host refuses connections.
+        After a network cut the agent can be reached again at once. When its
+        process has ended, its host refuses connections, and the link does
+        not count as recovering.
         """
         return (
             not self.is_connected()
-            and not self._refused
+            and not self._connection_refused
             and not self._recover_by.is_past()
         )
 
     async def run(
         self, configure: abc.Callable[["AgentLink"], abc.Awaitable[None]]
     ) -> None:
-        """Keep the link up for ever.
+        """Connect and reconnect until cancelled.
 
-        ``configure`` runs beside each connection and sends the agent its
-        configuration.
+        ``configure`` runs concurrently with each connection and sends the
+        agent its configuration.
         """
-        pause_s = _FIRST_PAUSE_S
+        backoff_s = _INITIAL_BACKOFF_S
         while True:
             was_connected = await self._connect_and_serve(configure)
             self.failures = 0 if was_connected else self.failures + 1
             self._notify()
-            pause_s = _FIRST_PAUSE_S if was_connected else pause_s * 2
-            await trio.sleep(min(pause_s, _LONGEST_PAUSE_S))
+            backoff_s = _INITIAL_BACKOFF_S if was_connected else backoff_s * 2
+            await trio.sleep(min(backoff_s, _MAX_BACKOFF_S))
 
     async def _connect_and_serve(
         self, configure: abc.Callable[["AgentLink"], abc.Awaitable[None]]
     ) -> bool:
-        greeted = False
+        handshake_done = False
         try:
             async with websockets.trio.client.connect(
                 f"ws://{self.host.address}/",
@@ -191,20 +201,24 @@
                     self._settings.silence_ms,
                 )
                 await self._greet(connection)
-                greeted = True
+                handshake_done = True
                 await self._serve(connection, configure)
         except* peer_connections.PeerConnectionError as group:
-            self._log_loss(greeted, group.exceptions[0])
+            self._log_loss(handshake_done, group.exceptions[0])
         except* (OSError, websockets.exceptions.WebSocketException) as group:
-            self._refused = _is_refusal(group.exceptions[0])
-            self._log_loss(greeted, group.exceptions[0])
-        return greeted
+            self._connection_refused = _is_connection_refused(
+                group.exceptions[0]
+            )
+            self._log_loss(handshake_done, group.exceptions[0])
+        return handshake_done
 
-    def _log_loss(self, greeted: bool, error: BaseException) -> None:
-        if self.failures > 0 and not greeted:
-            return  # One line for the first of a row of failures is enough.
+    def _log_loss(self, handshake_done: bool, error: BaseException) -> None:
+        if self.failures > 0 and not handshake_done:
+            return  # Only the first of consecutive failures is logged.
         logs.log_event(
-            events.CONNECTION_LOST if greeted else events.CONNECTION_REFUSED,
+            events.CONNECTION_LOST
+            if handshake_done
+            else events.CONNECTION_REFUSED,
             step=getattr(error, "step", "connect"),
             peer=self.host.host,
             address=self.host.address,
@@ -243,18 +257,18 @@
                 str(answer.get("reason", answer["type"])),
             )
         raise peer_connections.PeerConnectionError(
-            "greet", self.host.host, "no welcome came"
+            "greet", self.host.host, "no welcome received in time"
         )
 
     def _check_welcome(self, welcome: messages.Welcome) -> None:
         reason = ""
-        spoken = range(codec.OLDEST_VERSION, codec.PROTOCOL_VERSION + 1)
-        if welcome["version"] not in spoken:
-            reason = f"it speaks protocol version {welcome['version']}"
+        supported = range(codec.OLDEST_VERSION, codec.PROTOCOL_VERSION + 1)
+        if welcome["version"] not in supported:
+            reason = f"unsupported protocol version {welcome['version']}"
         elif welcome["target"] != self.host.target:
-            # The host list lags: the address may belong to another agent by
-            # now, which must not get this target's calls.
-            reason = f"it stands beside {welcome['target']}"
+            # The host list may be out of date: if the address now belongs to
+            # another target's agent, that agent must not get these calls.
+            reason = f"the agent serves target {welcome['target']}"
         if reason:
             raise peer_connections.PeerConnectionError(
                 "greet", self.host.host, reason
@@ -266,9 +280,9 @@
         configure: abc.Callable[["AgentLink"], abc.Awaitable[None]],
     ) -> None:
         self._connection = connection
-        # Behind the address may be another run of the agent, which has
-        # nothing yet of what the one before it had confirmed.
-        self._told_offset = self._covered_offset = self._confirmed_offset = 0
+        # A restarted agent process has none of the configuration that the
+        # previous one confirmed.
+        self._sent_offset = self._unchanged_offset = self._confirmed_offset = 0
         assert self.welcome is not None
         logs.log_event(
             events.CONNECTION_OPENED,
@@ -286,31 +300,33 @@
             self._lose_connection()
 
     def _has_calls(self) -> bool:
-        """Tell whether the agent still has to say something on a call.
+        """Tell whether a message of the agent is expected on some call.
 
-        A call whose last message came may stay open here while a slow
-        caller reads it, but the agent has forgotten it.
+        A call whose final message was received can stay open here while a
+        slow caller reads it, but the agent no longer holds it.
         """
-        return bool(self._open)
+        return bool(self._unfinished_calls)
 
     def _lose_connection(self) -> None:
         self._connection = None
-        self._refused = False
-        self._recover_by = deadlines.make_deadline(_RECOVERY_WITHIN_MS)
+        self._connection_refused = False
+        self._recover_by = deadlines.make_deadline(_RECOVERY_TIMEOUT_MS)
         self.report = None
         self.prefixes = frozenset()
         calls = tuple(self._calls.values())
         self._calls.clear()
-        self._open.clear()
+        self._unfinished_calls.clear()
         for call in calls:
-            call.lose()
+            call.mark_lost()
         self._notify()
 
     def _handle(self, message: codec.MessageMap) -> None:
         match message["type"]:
             case "items":
                 for run in message["runs"]:
-                    self._push(run["call"], {"type": "items", "runs": (run,)})
+                    self._enqueue(
+                        run["call"], {"type": "items", "runs": (run,)}
+                    )
             case "report":
                 self.store_report(typing.cast(messages.Report, message))
             case "leaving":
@@ -318,9 +334,9 @@
             case "configured":
                 self._confirmed_offset = message["offset"]
             case _ if "call" in message:
-                if message["type"] in _LAST_MESSAGES:
-                    self._open.discard(message["call"])
-                self._push(message["call"], message)
+                if message["type"] in _FINAL_MESSAGE_TYPES:
+                    self._unfinished_calls.discard(message["call"])
+                self._enqueue(message["call"], message)
             case other:
                 raise peer_connections.PeerConnectionError(
                     "read message",
@@ -329,26 +345,26 @@
                 )
 
     def record_sent_offset(self, offset: int) -> None:
-        """Note that the agent was sent its resource at ``offset``."""
-        self._told_offset = offset
-        self._covered_offset = offset
+        """Record that the agent was sent its resource as of ``offset``."""
+        self._sent_offset = offset
+        self._unchanged_offset = offset
 
     def record_unchanged_offset(self, offset: int) -> None:
-        """Note that up to ``offset`` nothing changed for the agent."""
-        self._covered_offset = offset
+        """Record that nothing changed for the agent up to ``offset``."""
+        self._unchanged_offset = offset
 
     def get_applied_offset(self) -> int:
-        """Return the offset through which the agent has all it needs.
+        """Return the log offset up to which the agent is up to date.
 
-        Once it has confirmed what it was told last, that is as far as
-        nothing else came up for it.
+        Once the agent has confirmed the last resource that it was sent, this
+        includes later offsets at which nothing changed for it.
         """
-        if self._told_offset and self._confirmed_offset >= self._told_offset:
-            return max(self._confirmed_offset, self._covered_offset)
+        if self._sent_offset and self._confirmed_offset >= self._sent_offset:
+            return max(self._confirmed_offset, self._unchanged_offset)
         return self._confirmed_offset
 
     def mark_leaving(self, reason: str) -> None:
-        """Offer nothing new on the link; ``reason`` is for people."""
+        """Place no new calls on the link; ``reason`` is only logged."""
         if not self.leaving:
             self.leaving = True
             logs.log_event(
@@ -358,16 +374,16 @@
                 reason=reason,
             )
 
-    def _push(self, number: int, message: codec.MessageMap) -> None:
-        # Messages of a call that was closed here are still on the way.
+    def _enqueue(self, number: int, message: codec.MessageMap) -> None:
+        # Messages of a call that was closed here may still arrive.
         call = self._calls.get(number)
         if call is not None:
-            call.push(message)
+            call.enqueue(message)
 
     def store_report(self, report: messages.Report) -> None:
-        """Keep the agent's newest report and when it came.
+        """Store the agent's latest report and its time of arrival.
 
-        One without prefixes leaves those known before.
+        A report without prefixes leaves the known prefixes unchanged.
         """
         self.report = report
         self.report_received = deadlines.make_deadline(0)
@@ -376,16 +392,20 @@
             self.prefixes = frozenset(report["prefixes"])
 
     def note_refusal(self, retry_after_ms: int) -> None:
-        """Take note that the agent refused a call, and until when.
+        """Record that the agent refused a call and for how long it does.
 
-        For a second at most: the next reports tell more than a refusal,
-        which may have concerned only one customer.
+        The time is limited to one second, since a refusal may concern only
+        one customer and the next reports describe the load better.
         """
-        within_ms = min(retry_after_ms, _LONGEST_REFUSAL_MS)
-        self.refused_until = deadlines.make_deadline(within_ms)
+        refusal_ms = min(retry_after_ms, _MAX_REFUSAL_MS)
+        self.refused_until = deadlines.make_deadline(refusal_ms)
 
     def open_call(self) -> LinkCall:
-        """Return a new call; raises when the link is not connected."""
+        """Return a new call.
+
+        Raises :class:`peer_connections.PeerConnectionError` when the link is
+        not connected.
+        """
         if self._connection is None:
             raise peer_connections.PeerConnectionError(
                 "open call", self.host.host, "not connected"
@@ -393,16 +413,20 @@
         self._last_call += 1
         call = LinkCall(self, self._last_call, self._settings.window)
         self._calls[call.number] = call
-        self._open.add(call.number)
+        self._unfinished_calls.add(call.number)
         return call
 
     def forget_call(self, number: int) -> None:
-        """Drop what still comes for a call."""
+        """Drop the messages that still arrive for a call."""
         self._calls.pop(number, None)
-        self._open.discard(number)
+        self._unfinished_calls.discard(number)
 
     async def send(self, message: abc.Mapping[str, typing.Any]) -> None:
-        """Send a message; raises when the link is lost."""
+        """Send a message.
+
+        Raises :class:`peer_connections.PeerConnectionError` when the link is
+        lost.
+        """
         if self._connection is None:
             raise peer_connections.PeerConnectionError(
                 "send message", self.host.host, "not connected"
@@ -410,7 +434,7 @@
         try:
             await self._connection.send(message)
         except peer_connections.PeerConnectionError:
-            # The reader notices the loss a moment later; a call that asks
-            # in between must not find a link that looks usable.
+            # The reading task detects the loss only later; until then a new
+            # call must not find the link usable.
             self._lose_connection()
             raise
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/answer_formats.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/answer_formats.py
@@ -1,7 +1,8 @@
-"""Formats of generated answers, streamed and whole.
+"""JSON formats of generated answers, complete and streamed.
 
-A streamed answer is server-sent events, one a token; each event's ``id`` is
-the number of its token, which ``after=`` takes when the caller resumes.
+A streamed answer is a sequence of server-sent events, one for each token.
+The ``id`` of an event is the number of its token; a caller that resumes
+passes it as ``after=``.
 """
 
 import abc
@@ -20,37 +21,43 @@
 )
 
 STREAM_DONE: typing.Final = b"data: [DONE]\n\n"
-"""Last event of a regular stream."""
-_PLACE_OF_TEXT: typing.Final = "\0"
-"""Stands for a token's text; neither an identifier nor a name has it."""
+"""Last event of a stream that ended regularly."""
+_TEXT_PLACEHOLDER: typing.Final = "\0"
+"""Placeholder for a token's text in the event template.
+
+No identifier and no name contains this character.
+"""
 
 
 class AnswerFormat(abc.ABC):
-    """How one answer is written."""
+    """Encodes one answer."""
 
     object_name: str
-    """Value of ``object`` in a whole answer."""
+    """Value of ``object`` in a complete answer."""
     chunk_name: str
-    """Value of ``object`` in an event of a stream."""
+    """Value of ``object`` in a streamed event."""
 
     def __init__(self, generation: str, model: str) -> None:
-        """Write the answer of ``generation`` by the service ``model``."""
+        """Encode the answer of ``generation`` by the service ``model``."""
         self._generation: typing.Final = generation
         self._model: typing.Final = model
         self._created: typing.Final = int(time.time())
-        self._event_parts: typing.Optional[tuple[bytes, bytes]] = None
+        self._event_template: typing.Optional[tuple[bytes, bytes]] = None
 
     @abc.abstractmethod
     def make_choice(self, text: str, finish: typing.Optional[str]) -> object:
-        """Return the choice of a whole answer."""
+        """Return the entry of ``choices`` in a complete answer."""
 
     @abc.abstractmethod
     def make_delta(
         self, text: typing.Optional[str], finish: typing.Optional[str]
     ) -> object:
-        """Return the choice of one event; no text at the end."""
+        """Return the entry of ``choices`` in a streamed event.
+
+        ``text`` is None in the event that ends the answer.
+        """
 
-    def _make_frame(self, name: str, choices: object) -> dict[str, object]:
+    def _make_envelope(self, name: str, choices: object) -> dict[str, object]:
         return {
             "id": self._generation,
             "object": name,
@@ -59,21 +66,21 @@
             "choices": choices,
         }
 
-    def encode_whole(self, text: str, end: call_requests.CallPart) -> bytes:
-        """Return a whole answer."""
-        frame = self._make_frame(
-            self.object_name, [self.make_choice(text, end.end)]
+    def encode_complete(self, text: str, end: call_requests.CallPart) -> bytes:
+        """Return the complete answer as JSON."""
+        envelope = self._make_envelope(
+            self.object_name, [self.make_choice(text, end.finish_reason)]
         )
-        frame["usage"] = _make_usage(end)
-        return msgspec.json.encode(frame)
+        envelope["usage"] = _make_usage(end)
+        return msgspec.json.encode(envelope)
 
     def encode_events(self, part: call_requests.CallPart) -> bytes:
-        """Return the events of a part's tokens, to be written at once.
+        """Return the server-sent events of all tokens of a part.
 
-        All events of an answer differ in number and text only, so the rest
-        is encoded once: this runs for each token of each caller.
+        This runs for each token of each caller. The events of an answer
+        differ only in number and text, so the rest is encoded only once.
         """
-        before, after = self._event_parts or self._encode_event_parts()
+        before, after = self._event_template or self._encode_event_template()
         pieces = []
         for number, text in enumerate(part.texts, part.first):
             pieces.append(b"id: %d\ndata: " % number)
@@ -82,27 +89,27 @@
             pieces.append(after)
         return b"".join(pieces)
 
-    def _encode_event_parts(self) -> tuple[bytes, bytes]:
-        """Return what stands before and after an event's text."""
-        frame = self._make_frame(
-            self.chunk_name, [self.make_delta(_PLACE_OF_TEXT, None)]
+    def _encode_event_template(self) -> tuple[bytes, bytes]:
+        """Return the encoded event before and after the token's text."""
+        envelope = self._make_envelope(
+            self.chunk_name, [self.make_delta(_TEXT_PLACEHOLDER, None)]
         )
-        before, after = msgspec.json.encode(frame).split(
-            msgspec.json.encode(_PLACE_OF_TEXT)
+        before, after = msgspec.json.encode(envelope).split(
+            msgspec.json.encode(_TEXT_PLACEHOLDER)
         )
-        self._event_parts = before, after + b"\n\n"
-        return self._event_parts
+        self._event_template = before, after + b"\n\n"
+        return self._event_template
 
     def encode_end(
         self, end: call_requests.CallPart, include_usage: bool
     ) -> bytes:
-        """Return the closing events of a regular stream."""
-        frame = self._make_frame(
-            self.chunk_name, [self.make_delta(None, end.end)]
+        """Return the last events of a stream that ended regularly."""
+        envelope = self._make_envelope(
+            self.chunk_name, [self.make_delta(None, end.finish_reason)]
         )
-        events = b"data: " + msgspec.json.encode(frame) + b"\n\n"
+        events = b"data: " + msgspec.json.encode(envelope) + b"\n\n"
         if include_usage:
-            usage = self._make_frame(self.chunk_name, [])
+            usage = self._make_envelope(self.chunk_name, [])
             usage["usage"] = _make_usage(end)
             events += b"data: " + msgspec.json.encode(usage) + b"\n\n"
         return events + STREAM_DONE
@@ -123,7 +130,7 @@
     chunk_name = "text_completion"
 
     def make_choice(self, text: str, finish: typing.Optional[str]) -> object:
-        """Return the text with its end."""
+        """Return the text with its finish reason."""
         return {
             "index": 0,
             "text": text,
@@ -134,7 +141,7 @@
     def make_delta(
         self, text: typing.Optional[str], finish: typing.Optional[str]
     ) -> object:
-        """Return one token's text, or the end."""
+        """Return a token's text, or the finish reason."""
         return self.make_choice(text or "", finish)
 
 
@@ -145,7 +152,7 @@
     chunk_name = "chat.completion.chunk"
 
     def make_choice(self, text: str, finish: typing.Optional[str]) -> object:
-        """Return the assistant's message with its end."""
+        """Return the assistant's message with its finish reason."""
         return {
             "index": 0,
             "message": {"role": "assistant", "content": text},
@@ -156,7 +163,7 @@
     def make_delta(
         self, text: typing.Optional[str], finish: typing.Optional[str]
     ) -> object:
-        """Return one token's text, or the end."""
+        """Return a token's text, or the finish reason."""
         delta: dict[str, str] = {}
         if text is not None:
             delta = {"role": "assistant", "content": text}
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/call_requests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/call_requests.py
@@ -1,4 +1,4 @@
-"""What a call asks, and the parts in which its answer comes."""
+"""Request of a call and the parts of its answer."""
 
 import typing
 
@@ -9,46 +9,46 @@
 
 
 class CallRequest(typing.NamedTuple):
-    """What a caller asked and what its service and customer allow."""
+    """A caller's request with the settings of its service and customer."""
 
     identifier: str
-    """Identifier of the request at this entry, for the log."""
+    """Identifier of the request at this entry, used in the log."""
     service: str
-    """Service that answers."""
+    """Name of the requested service."""
     customer: str
-    """Customer who asks."""
+    """Name of the calling customer."""
     weight: float
-    """The customer's share in fair queues."""
+    """Weight of the customer in fair queueing."""
     customer_limit: int
-    """Most calls of the customer on one target at once; 0 for no limit."""
+    """Concurrent calls of the customer per target; 0 for no limit."""
     priority: int
-    """Priority, larger is more urgent."""
+    """Priority; a larger number is more urgent."""
     repeatable: bool
-    """False when it may run at most once."""
+    """False when the request may run at most once."""
     request: messages.Request
-    """The request as agents get it."""
+    """The request in the form that is sent to agents."""
     start_by: deadlines.Deadline
-    """After this it must not start."""
+    """Deadline after which the request must not start."""
     finish_by: deadlines.Deadline
-    """After this the caller has no use for the answer."""
+    """Deadline after which the caller no longer needs the answer."""
     generation: str
-    """Prepared identifier to start; empty for none."""
+    """Generation identifier to start or resume; empty for none."""
     retry_share: float
-    """Retries of the service as a share of fresh requests."""
+    """Retries of the service as a share of new requests."""
 
 
 class CallPart(typing.NamedTuple):
-    """What came next: items, or the end."""
+    """One part of an answer: a sequence of items, or the end."""
 
     first: int
     """Number of the first item; 0 at the end."""
     texts: typing.Sequence[str]
     """Token texts."""
     chunks: typing.Sequence[bytes]
-    """Chunks of a plain answer."""
-    end: str
-    """``stop`` or ``length`` at the end, else empty."""
+    """Chunks of a plain service's answer."""
+    finish_reason: str
+    """``stop`` or ``length`` at the end, otherwise empty."""
     prompt_tokens: int
-    """Tokens of the prompt, at the end."""
+    """Number of prompt tokens; set at the end."""
     completion_tokens: int
-    """Tokens generated, at the end."""
+    """Number of generated tokens; set at the end."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/caller_bodies.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/caller_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send, as their tools write them."""
+"""Request bodies of the completion and chat APIs."""
 
 import typing
 
@@ -23,7 +23,7 @@
 
 
 class _CommonBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Fields of both kinds; those that engines ignore are taken too."""
+    """Fields of both bodies, including some that engines ignore."""
 
     model: str
     max_tokens: typing.Optional[int] = None
@@ -44,11 +44,11 @@
     """Body of ``POST /v1/completions``."""
 
     prompt: str
-    """Prompt text."""
+    """Text of the prompt."""
 
 
 class _TextPart(msgspec.Struct):
-    """Part of a message's content."""
+    """Text part of a message's content."""
 
     type: str
     text: str = ""
@@ -65,16 +65,16 @@
     """Body of ``POST /v1/chat/completions``."""
 
     messages: list[_ChatMessage]
-    """The conversation so far."""
+    """All messages of the conversation so far."""
 
 
 def _check(body: _CommonBody) -> None:
     limit = body.max_completion_tokens or body.max_tokens
     reason = ""
     if body.n not in (None, 1):
-        reason = "n: only one answer a request is given"
+        reason = "n: only one answer per request is supported"
     elif limit is not None and limit < 1:
-        reason = "max_tokens: less than 1"
+        reason = "max_tokens: must be at least 1"
     if reason:
         raise errors.CallError(
             errors.INVALID_REQUEST, reason, step="read body"
@@ -96,12 +96,12 @@
 
 
 def decode_completion(data: bytes) -> CompletionBody:
-    """Return the body, or raise ``invalid_request`` with the field."""
+    """Decode a body, or raise ``invalid_request`` naming the field."""
     return _decode(data, CompletionBody)
 
 
 def decode_chat(data: bytes) -> ChatBody:
-    """Return the body, or raise ``invalid_request`` with the field."""
+    """Decode a body, or raise ``invalid_request`` naming the field."""
     return _decode(data, ChatBody)
 
 
@@ -114,9 +114,9 @@
 def make_generation_request(
     body: typing.Union[CompletionBody, ChatBody],
 ) -> messages.Request:
-    """Return the request as agents get it.
+    """Return the request in the form that is sent to agents.
 
-    A conversation becomes one prompt of lines ``role: content``.
+    A conversation is joined into one prompt of lines ``role: content``.
     """
     if isinstance(body, CompletionBody):
         prompt = body.prompt
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -1,13 +1,14 @@
-"""Calls: one caller's request on its way through agents.
+"""State machine of one caller's request, from first offer to final answer.
 
-The code follows one request straight down. It is offered to an agent; what
-may run again is offered elsewhere while nothing was delivered; after a lost
-connection the same generation is resumed at its home, never another one.
+A request is offered to an agent. A repeatable request is retried on another
+agent as long as no item was delivered. After a connection is lost, a
+generation is only ever resumed at its home: the target that its identifier
+names.
 
-A request that may run only once is prepared first: the agent gives out an
-identifier that it starts only once. When the connection is lost after the
-start was asked for, asking again with the same identifier is idempotent, so
-neither a second run nor a guess is needed.
+A non-repeatable request is prepared first: the agent issues a generation
+identifier that it starts at most once. Sending the offer again with the same
+identifier is therefore idempotent, and a connection that is lost after the
+offer causes neither a second run nor an unknown outcome.
 """
 
 import typing
@@ -28,17 +29,17 @@
 
 __all__ = ("Call",)
 
-_MOST_ATTEMPTS: typing.Final = 3
-_ACKNOWLEDGE_SHARE: typing.Final = 4
+_MAX_ATTEMPTS: typing.Final = 3
+_ACKNOWLEDGEMENTS_PER_WINDOW: typing.Final = 4
 
 
 class _LostLink(typing.NamedTuple):
-    """A link that was lost with an attempt on it."""
+    """A link that was lost while an attempt was open on it."""
 
     link: agent_links.AgentLink
-    """The link, which connects again by itself."""
+    """The link, which reconnects on its own."""
     incarnation: str
-    """Run of the agent that got the attempt."""
+    """Incarnation of the agent process that received the attempt."""
 
 
 class Call(dispatch.OpenCall):
@@ -49,14 +50,14 @@
         dispatcher: dispatch.Dispatcher,
         request: call_requests.CallRequest,
         resume_after: typing.Optional[int] = None,
-        is_whole: bool = False,
+        is_buffered: bool = False,
     ) -> None:
-        """Make a call that has not been offered yet.
+        """Register a call that has not been offered yet.
 
-        With ``resume_after`` it only reads the items of the request's
-        generation after that number and starts nothing. ``is_whole`` tells
-        that the caller gets nothing before the end: an answer that breaks
-        off may then be generated anew, and its items come from number 1
+        With ``resume_after`` the call starts nothing and only reads the items
+        of the request's generation after that number. ``is_buffered`` means
+        that the caller receives nothing before the end, so an answer that
+        breaks off may be generated again; its items are then numbered from 1
         again.
         """
         self.request: typing.Final = request
@@ -68,40 +69,42 @@
         self._tried: typing.Final[set[str]] = set()
         self._finished = False
         self._resumes = resume_after is not None
-        self._is_whole: typing.Final = is_whole
+        self._is_buffered: typing.Final = is_buffered
         self._may_have_started = self._resumes
         self._lost_link: typing.Optional[_LostLink] = None
         self._incarnation = ""
-        self._lost_attempt = self._resumes
+        self._earlier_attempt_lost = self._resumes
         dispatcher.add_call(self, request)
         self._span: typing.Final = telemetry.get_tracer().start_span(
             "entry call", attributes={"service": request.service}
         )
 
     async def receive(self) -> call_requests.CallPart:
-        """Return the next items, or the regular end.
+        """Return the next items or the regular end of the answer.
 
-        Raises :class:`errors.CallError` with the final answer when there is
-        no regular one.
+        Raises :class:`errors.CallError` with the final outcome of a call that
+        does not end regularly.
         """
         try:
             part = await self._receive_part()
         except errors.CallError as error:
             self._drop_link_call()
-            final = self._correct_answer(error)
+            final = self._correct_outcome(error)
             self._log_finish(final.code)
             raise final from error
-        if part.end:
+        if part.finish_reason:
             self._log_finish("ok")
         return part
 
-    def _correct_answer(self, error: errors.CallError) -> errors.CallError:
-        """Say ``not_run`` only when no earlier attempt can have started.
+    def _correct_outcome(self, error: errors.CallError) -> errors.CallError:
+        """Return the error with the outcome that holds for all attempts.
 
-        An attempt whose connection was lost may have run although the last
-        attempt was refused; a caller told otherwise would run it twice. And
-        what a restarted agent can't find at its target has run, if tokens
-        of it were delivered: then it is incomplete.
+        ``not_run`` is kept only when no earlier attempt can have started: an
+        attempt whose connection was lost may have run even though the last
+        one was refused, and a caller that is told ``not_run`` may run the
+        request twice. ``outcome_unknown`` from a restarted agent that does
+        not find the generation at its target becomes ``incomplete`` when
+        tokens were delivered, since the generation has then run.
         """
         if error.code == errors.OUTCOME_UNKNOWN and self.delivered:
             return errors.CallError(
@@ -114,28 +117,29 @@
             return error
         return errors.CallError(
             errors.OUTCOME_UNKNOWN,
-            f"an attempt was lost, then: {error.reason}",
+            f"an earlier attempt was lost, then: {error.reason}",
             step=error.step,
             peer=error.peer,
             retry_after_ms=error.retry_after_ms,
         )
 
-    def end_wait(self) -> None:
-        """Receive what has come already, then the answer that there is."""
+    def stop_waiting(self) -> None:
+        """Receive only messages that have arrived, then end the call."""
         if self._link_call is not None:
-            self._link_call.end()
+            self._link_call.stop_receiving()
 
-    def _make_overdue(self) -> errors.CallError:
-        """Return the answer of a call that the entry can't wait for.
+    def _make_shutdown_error(self) -> errors.CallError:
+        """Return the error of a call that the shutdown cuts off.
 
-        Its generation is not withdrawn: its caller may come back for it
+        Its generation is not cancelled, so that the caller can resume it
         through another entry.
         """
-        # What the caller named may have been started through another entry.
+        # A generation named by the caller may have been started through
+        # another entry.
         may_have_run = self._may_have_started or bool(self.request.generation)
         return errors.CallError(
             errors.OUTCOME_UNKNOWN if may_have_run else errors.NOT_RUN,
-            "this entry ends before the call",
+            "the entry shut down before the call ended",
             step="receive items",
             peer=self._get_peer(),
             retry_after_ms=dispatch.RETRY_AFTER_MS,
@@ -144,42 +148,45 @@
     async def _receive_part(self) -> call_requests.CallPart:
         while True:
             if self._link_call is None:
-                with self._dispatcher.shutdown.limit_wait(self._make_overdue):
-                    await self._place()
+                with self._dispatcher.shutdown.limit_wait(
+                    self._make_shutdown_error
+                ):
+                    await self._start_attempt()
                 continue
             await self._acknowledge()
             message = await self._link_call.receive()
             if message is None:
                 if self._dispatcher.shutdown.is_over:
-                    raise self._make_overdue()
+                    raise self._make_shutdown_error()
                 self._recover_from_loss()
                 continue
             part = await self._handle(message)
             if part is not None:
                 return part
 
-    async def _place(self) -> None:
+    async def _start_attempt(self) -> None:
         lost, self._lost_link = self._lost_link, None
         if lost is not None:
-            await self._offer_again(lost)
+            await self._reoffer_on_link(lost)
         elif self._resumes or self.delivered:
             await self._resume_at_home()
         elif self.generation:
             await self._offer_at_home()
         else:
-            await self._offer_somewhere()
+            await self._offer_to_any_agent()
 
-    async def _offer_again(self, lost: _LostLink) -> None:
-        """Offer the same attempt on the link that was lost, if it is back.
+    async def _reoffer_on_link(self, lost: _LostLink) -> None:
+        """Offer the same attempt again once its lost link reconnects.
 
-        The agent attaches it to what it has of the attempt, so nothing runs
-        twice and no retry is spent. Otherwise the work is done elsewhere.
+        The agent attaches the offer to the attempt that it already has, so
+        nothing runs twice and no retry is spent. If the link does not
+        reconnect to the same agent process, the attempt is abandoned.
         """
-        again = await self._dispatcher.wait_recovery(
+        again = await self._dispatcher.wait_for_recovery(
             self.request, lost.link, lost.incarnation
         )
         if not again:
-            self._give_attempt_up("the link was lost")
+            self._abandon_attempt("the link was lost")
             return
         try:
             await self._send_offer(lost.link)
@@ -187,24 +194,27 @@
             self._lost_link = lost
             self._drop_link_call()
 
-    def _give_attempt_up(self, reason: str) -> None:
-        """Leave an attempt for one elsewhere, which costs a retry."""
+    def _abandon_attempt(self, reason: str) -> None:
+        """Give up an attempt and spend a retry on another agent."""
         self.generation = ""
-        self._lost_attempt = True
+        self._earlier_attempt_lost = True
         self._require_retry(reason)
 
-    async def prepare_somewhere(self) -> None:
-        """Ask one agent for an identifier; it may come or not."""
+    async def prepare_at_any_agent(self) -> None:
+        """Ask one agent for a generation identifier.
+
+        ``generation`` stays empty when the agent refuses or its link is lost.
+        """
         link = await self._choose_link()
         try:
             await self._prepare(link)
         except peer_connections.PeerConnectionError:
-            # Nothing was started; the agent may be asked again.
+            # A prepare starts nothing, so the same agent may be asked again.
             self._tried.discard(link.host.host)
 
-    async def _offer_somewhere(self) -> None:
+    async def _offer_to_any_agent(self) -> None:
         if not self.request.repeatable:
-            await self.prepare_somewhere()
+            await self.prepare_at_any_agent()
             return
         link = await self._choose_link()
         try:
@@ -216,7 +226,7 @@
         if self.request.start_by.is_past():
             raise errors.CallError(
                 errors.NOT_RUN,
-                "the deadline to start was past",
+                "the deadline to start has passed",
                 step="choose target",
                 peer=self.request.service,
                 retry_after_ms=dispatch.RETRY_AFTER_MS,
@@ -249,10 +259,10 @@
 
     async def _offer_at_home(self) -> None:
         try:
-            link = await self._dispatcher.wait_home(self.generation)
+            link = await self._dispatcher.wait_for_home(self.generation)
             await self._send_offer(link)
         except dispatch.HomeLostError as error:
-            raise self._make_unknown(str(error)) from error
+            raise self._make_home_lost_error(str(error)) from error
         except peer_connections.PeerConnectionError:
             self._drop_link_call()
 
@@ -280,7 +290,7 @@
         self._acknowledged = self.delivered
         assert link.welcome is not None
         self._incarnation = link.welcome["incarnation"]
-        # From here on the agent may start it, until it refuses.
+        # Set before the send, since a send that fails may still arrive.
         self._may_have_started = True
         link.sent_since_report += 1
         logs.log_event(
@@ -304,35 +314,35 @@
             case "admitted":
                 self.generation = message["generation"]
             case "items":
-                return self._take_run(message["runs"][0])
+                return self._handle_items(message["runs"][0])
             case "refused":
-                self._take_refusal(message)
+                self._handle_refusal(message)
             case "ended":
-                return self._take_end(message)
+                return self._handle_end(message)
         return None
 
-    def _take_run(
+    def _handle_items(
         self, run: messages.Run
     ) -> typing.Optional[call_requests.CallPart]:
-        # After a resume the first items may be known already; a hole would
-        # mean that the agent broke the protocol.
-        known = self.delivered + 1 - run["first"]
-        if known < 0:
+        # After a resume the run may begin with items that were delivered
+        # before; a gap in the numbers violates the protocol.
+        skipped = self.delivered + 1 - run["first"]
+        if skipped < 0:
             raise errors.CallError(
                 errors.INCOMPLETE,
                 f"items after {self.delivered} are missing",
                 step="receive items",
                 peer=self._get_peer(),
             )
-        texts = run["texts"][known:]
-        chunks = run["chunks"][known:]
+        texts = run["texts"][skipped:]
+        chunks = run["chunks"][skipped:]
         if not texts and not chunks:
             return None
         first = self.delivered + 1
         self.delivered += len(texts) + len(chunks)
         return call_requests.CallPart(first, texts, chunks, "", 0, 0)
 
-    def _take_refusal(self, message: codec.MessageMap) -> None:
+    def _handle_refusal(self, message: codec.MessageMap) -> None:
         code = message["code"]
         if code != errors.NOT_RUN:
             raise errors.CallError(
@@ -345,9 +355,9 @@
         if self._link_call is not None:
             self._link_call.link.note_refusal(message["retry_after_ms"])
         self._drop_link_call()
-        self._may_have_started = self._lost_attempt
-        # The generation did not run and nothing of it was delivered, so any
-        # other may take its place, unless the caller asked for this one.
+        self._may_have_started = self._earlier_attempt_lost
+        # The generation did not run and delivered nothing, so another one
+        # may replace it unless the caller named this one.
         if self.request.generation:
             raise errors.CallError(
                 errors.NOT_RUN,
@@ -359,7 +369,7 @@
         self.generation = ""
         self._require_retry(message["reason"], message["retry_after_ms"])
 
-    def _take_end(
+    def _handle_end(
         self, message: codec.MessageMap
     ) -> typing.Optional[call_requests.CallPart]:
         reason = message["reason"]
@@ -376,7 +386,7 @@
         self._drop_link_call()
         if self.delivered == 0 and reason in ("outcome_unknown", "incomplete"):
             if self._may_run_again():
-                self._give_attempt_up(message.get("detail", reason))
+                self._abandon_attempt(message.get("detail", reason))
                 return None
             reason = errors.OUTCOME_UNKNOWN
         error = errors.CallError(
@@ -387,37 +397,38 @@
         )
         if reason != errors.INCOMPLETE:
             raise error
-        self._start_over(error)
+        self._regenerate(error)
         return None
 
     def _may_run_again(self) -> bool:
-        return self._is_free() and self.delivered == 0
+        return self._accepts_any_generation() and self.delivered == 0
 
-    def _is_free(self) -> bool:
-        """Tell whether the answer may come from any generation."""
+    def _accepts_any_generation(self) -> bool:
+        """Tell whether a different generation may produce the answer."""
         return (
             self.request.repeatable
             and not self._resumes
             and not self.request.generation
         )
 
-    def _has_choice(self) -> bool:
-        """Tell whether the answer can be generated anew elsewhere."""
+    def _can_regenerate(self) -> bool:
+        """Tell whether another agent can generate the answer again."""
         return (
-            self._is_whole
-            and self._is_free()
+            self._is_buffered
+            and self._accepts_any_generation()
             and self._dispatcher.has_other_link(self.request, self._tried)
         )
 
-    def _start_over(self, error: errors.CallError) -> None:
-        """Have a whole answer that broke off generated anew elsewhere.
+    def _regenerate(self, error: errors.CallError) -> None:
+        """Generate a buffered answer that broke off again on another agent.
 
-        Its caller has got nothing of it, so nothing is spliced; without this
-        each engine that is lost would cost the callers of whole answers an
-        error for work that may be repeated. Raises ``error`` when it may
-        not, or when there is no other target or retry.
+        The caller has received no part of it, so two generations are never
+        mixed. Without this, each lost engine would fail the non-streaming
+        calls on it although their work may be repeated. Raises ``error``
+        when the request is not repeatable, or when no other target or no
+        retry is left.
         """
-        if not self._has_choice():
+        if not self._can_regenerate():
             raise error
         try:
             self._require_retry(error.reason)
@@ -425,17 +436,17 @@
             raise error from None
         self.generation = ""
         self.delivered = 0
-        self._lost_attempt = True
+        self._earlier_attempt_lost = True
 
     def _require_retry(self, reason: str, retry_after_ms: int = 0) -> None:
-        """Return when another attempt is allowed, else give the answer.
+        """Return if another attempt is allowed, else raise ``not_run``.
 
-        Only called when nothing ran, or when what ran may run again.
+        Call it only when nothing has run, or when the request is repeatable.
         """
         attempts = len(self._tried)
         in_time = not self.request.start_by.is_past()
         if (
-            attempts < _MOST_ATTEMPTS
+            attempts < _MAX_ATTEMPTS
             and in_time
             and self._dispatcher.may_retry(self.request)
         ):
@@ -464,8 +475,8 @@
 
     async def _resume_at_home(self) -> None:
         try:
-            link = await self._dispatcher.wait_home(
-                self.generation, self._has_choice()
+            link = await self._dispatcher.wait_for_home(
+                self.generation, self._can_regenerate()
             )
             call = link.open_call()
             self._link_call = call
@@ -487,11 +498,11 @@
                 after=self.delivered,
             )
         except dispatch.HomeLostError as error:
-            self._start_over(self._make_unknown(str(error)))
+            self._regenerate(self._make_home_lost_error(str(error)))
         except peer_connections.PeerConnectionError:
             self._drop_link_call()
 
-    def _make_unknown(self, reason: str) -> errors.CallError:
+    def _make_home_lost_error(self, reason: str) -> errors.CallError:
         code = errors.INCOMPLETE if self.delivered else errors.OUTCOME_UNKNOWN
         return errors.CallError(
             code, reason, step="find generation", peer=self.generation
@@ -499,13 +510,18 @@
 
     async def _acknowledge(self) -> None:
         unacknowledged = self.delivered - self._acknowledged
-        if unacknowledged * _ACKNOWLEDGE_SHARE < self._dispatcher.window:
+        if (
+            unacknowledged * _ACKNOWLEDGEMENTS_PER_WINDOW
+            < self._dispatcher.window
+        ):
             return
         call = self._link_call
         assert call is not None
         self._acknowledged = self.delivered
         try:
-            with self._dispatcher.shutdown.limit_wait(self._make_overdue):
+            with self._dispatcher.shutdown.limit_wait(
+                self._make_shutdown_error
+            ):
                 await call.link.send(
                     {
                         "type": "acknowledge",
@@ -514,7 +530,7 @@
                     }
                 )
         except peer_connections.PeerConnectionError:
-            return  # The receiver notices the lost link itself.
+            return  # The next receive reports the lost link.
 
     def _get_peer(self) -> str:
         if self._link_call is None:
@@ -543,9 +559,10 @@
         )
 
     async def close(self) -> None:
-        """Read no more; the agent keeps the generation for a while.
+        """Stop reading and release the generation at the agent.
 
-        An offer that has not started yet is withdrawn.
+        The agent keeps a started generation for a while, so that the caller
+        can resume it; an offer that has not started is withdrawn.
         """
         self._dispatcher.forget_call(self)
         if self._span.is_recording():
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
@@ -1,4 +1,8 @@
-"""Finding a link for a call: a new one, its home, or one that comes back."""
+"""Selection of the agent link for a call, and the limit on retries.
+
+A new call may use any usable link of its service. A started generation needs
+the link to its home, the target that its identifier names.
+"""
 
 import math
 import typing
@@ -19,24 +23,24 @@
 __all__ = ("RETRY_AFTER_MS", "Dispatcher", "HomeLostError", "OpenCall")
 
 RETRY_AFTER_MS: typing.Final = 1000
-"""When to come back where nothing better is known, milliseconds."""
-_HOME_WITHIN_MS: typing.Final = 15_000
-_HOME_FIRST_MS: typing.Final = 1500
+"""Default retry delay that callers are told, in milliseconds."""
+_HOME_TIMEOUT_MS: typing.Final = 15_000
+_SHORT_HOME_TIMEOUT_MS: typing.Final = 1500
 
 
 class HomeLostError(Exception):
-    """The home of a generation is gone, or does not come back in time."""
+    """The home of a generation is gone or can't be reached in time."""
 
 
 class OpenCall:
-    """What counts as a call in flight."""
+    """An operation that the entry waits for when it shuts down."""
 
-    def end_wait(self) -> None:
-        """Wait for no further message of an agent."""
+    def stop_waiting(self) -> None:
+        """Stop waiting for messages from agents."""
 
 
 class Dispatcher:
-    """Finds links for calls, and bounds their retries."""
+    """Selects links for calls and limits their retries."""
 
     def __init__(
         self,
@@ -44,7 +48,10 @@
         policy: placement_policy.PlacementPolicy,
         window: int,
     ) -> None:
-        """Offer calls on the links of ``pool`` as ``policy`` chooses."""
+        """Place calls on links of ``pool`` that ``policy`` chooses.
+
+        ``window`` is the number of items of a call that may be in flight.
+        """
         self.pool: typing.Final = pool
         self.window: typing.Final = window
         self.shutdown: typing.Final = shutdown_limits.ShutdownLimits()
@@ -55,36 +62,37 @@
     def add_call(
         self, call: OpenCall, request: call_requests.CallRequest
     ) -> None:
-        """Count an open call; a fresh one adds to the retry budget."""
+        """Register an open call and credit its service's retry budget."""
         self._open_calls.add(call)
         self._budgets.note_request(request.service, request.retry_share)
 
     def forget_call(self, call: OpenCall) -> None:
-        """Count a call no more."""
+        """Remove a call that was closed."""
         self._open_calls.discard(call)
 
     def count_calls(self) -> int:
-        """Return the number of calls that were not closed yet.
+        """Return the number of calls that are not closed yet.
 
-        All count, also those whose first item has not come, so that an entry
-        which is told to stop cuts none of them.
+        Calls that still wait for their first item count too, so that a
+        shutdown does not cut them off.
         """
         return len(self._open_calls)
 
     def end_calls(self) -> None:
-        """Have all calls that still wait answer what they can."""
+        """Make all waiting calls end with what they have received."""
         self.shutdown.end_waits()
         for call in self._open_calls:
-            call.end_wait()
+            call.stop_waiting()
 
     async def choose_link(
         self, request: call_requests.CallRequest, tried: typing.Collection[str]
     ) -> agent_links.AgentLink:
-        """Return an agent's link that was not tried yet.
+        """Return a usable link to an agent that was not tried yet.
 
-        A link that was lost a moment ago is waited for, since one cut would
-        otherwise refuse all calls of that moment. Raises
-        :class:`errors.CallError` with ``not_run`` when there is none.
+        When only links that were lost a moment ago are left, this waits for
+        them, since a short network cut would otherwise fail every call that
+        arrives meanwhile. Raises :class:`errors.CallError` with ``not_run``
+        when no link is usable.
         """
         usable: list[agent_links.AgentLink] = []
         with trio.move_on_at(request.start_by.at):
@@ -111,14 +119,14 @@
     def has_other_link(
         self, request: call_requests.CallRequest, tried: typing.Collection[str]
     ) -> bool:
-        """Tell whether a link that was not tried takes calls now."""
+        """Tell whether a link that was not tried is usable now."""
         return any(
             link.is_usable() and link.host.host not in tried
             for link in self.pool.list_links(request.service)
         )
 
     def may_retry(self, request: call_requests.CallRequest) -> bool:
-        """Take a retry from the service's budget, if there is one."""
+        """Spend a retry of the service's budget; False when none is left."""
         if self._budgets.take_retry(request.service):
             return True
         logs.log_event(
@@ -128,23 +136,26 @@
         )
         return False
 
-    async def wait_home(
-        self, generation: str, has_choice: bool = False
+    async def wait_for_home(
+        self, generation: str, can_regenerate: bool = False
     ) -> agent_links.AgentLink:
         """Return a connected link to the home of a generation.
 
-        With ``has_choice`` the work can be done elsewhere, and the wait is
-        short.
+        With ``can_regenerate`` another agent can repeat the work, so the wait
+        is short.
 
-        A later run of the agent stands in for a home that is gone: it
-        adopts what the target still has, and starts nothing. Raises
-        :class:`HomeLostError` when no run answers in time.
+        After the agent process that issued the identifier is gone, a later
+        incarnation of the agent answers for it: it adopts the generations
+        that the target still has and starts none. Raises
+        :class:`HomeLostError` when no agent of the target connects in time.
         """
         parsed = generation_ids.parse_generation_id(generation)
         if parsed.is_error():
             raise HomeLostError(str(parsed.error))
         home = parsed.ok
-        within_ms = _HOME_FIRST_MS if has_choice else _HOME_WITHIN_MS
+        within_ms = (
+            _SHORT_HOME_TIMEOUT_MS if can_regenerate else _HOME_TIMEOUT_MS
+        )
         with trio.move_on_after(within_ms / 1000):
             while True:
                 link = self.pool.find_target_link(
@@ -157,15 +168,16 @@
                 await self.pool.wait_changed()
         raise HomeLostError("its agent can't be reached")
 
-    async def wait_recovery(
+    async def wait_for_recovery(
         self,
         request: call_requests.CallRequest,
         link: agent_links.AgentLink,
         incarnation: str,
     ) -> bool:
-        """Wait for a lost link; tell whether the same run answers again.
+        """Wait until a lost link reconnects to the same agent process.
 
-        While the work could be done elsewhere the wait is short.
+        Returns False when it does not. The wait is short while another agent
+        is usable and a retry is left.
         """
         wait_ms = math.inf
         others = [
@@ -174,7 +186,7 @@
             if other.is_usable()
         ]
         if others and self._budgets.has_retry(request.service):
-            wait_ms = _HOME_FIRST_MS
+            wait_ms = _SHORT_HOME_TIMEOUT_MS
         with trio.move_on_after(wait_ms / 1000):
             while link.is_recovering():
                 await self.pool.wait_changed()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/error_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/error_answers.py
@@ -1,4 +1,4 @@
-"""Error answers in the form that callers' tools know."""
+"""HTTP error responses in the format of the completion API."""
 
 import math
 import typing
@@ -9,7 +9,7 @@
 
 from gentianpoint_core import errors
 
-__all__ = ("describe_error", "make_error_response", "make_http_error_response")
+__all__ = ("encode_error", "make_error_response", "make_http_error_response")
 
 _MS_IN_S: typing.Final = 1000
 _TYPES: typing.Final = {
@@ -20,9 +20,9 @@
 }
 
 
-def describe_error(error: errors.CallError, generation: str = "") -> bytes:
-    """Return the JSON body of an error."""
-    inner: dict[str, typing.Any] = {
+def encode_error(error: errors.CallError, generation: str = "") -> bytes:
+    """Return the JSON body of an error response."""
+    details: dict[str, typing.Any] = {
         "message": error.reason,
         "type": _TYPES.get(error.code, "server_error"),
         "code": error.code,
@@ -31,40 +31,40 @@
         "peer": error.peer,
     }
     if generation:
-        inner["generation"] = generation
+        details["generation"] = generation
     if error.retry_after_ms:
-        inner["retry_after_ms"] = error.retry_after_ms
-    return msgspec.json.encode({"error": inner})
+        details["retry_after_ms"] = error.retry_after_ms
+    return msgspec.json.encode({"error": details})
 
 
 def make_error_response(
     error: errors.CallError, generation: str = ""
 ) -> quart.Response:
-    """Return the HTTP answer, with Retry-After in whole seconds."""
-    answer = quart.Response(
-        describe_error(error, generation),
+    """Return the HTTP response, with ``Retry-After`` in whole seconds."""
+    response = quart.Response(
+        encode_error(error, generation),
         status=error.status,
         content_type="application/json",
     )
     if error.retry_after_ms:
         seconds = math.ceil(error.retry_after_ms / _MS_IN_S)
-        answer.headers["Retry-After"] = str(max(1, seconds))
+        response.headers["Retry-After"] = str(max(1, seconds))
     if generation:
-        answer.headers["Gentianpoint-Generation"] = generation
-    return answer
+        response.headers["Gentianpoint-Generation"] = generation
+    return response
 
 
 def make_http_error_response(
     error: exceptions.HTTPException,
 ) -> quart.Response:
-    """Return an error of the HTTP server in the form of all others.
+    """Return the response for an error that the HTTP framework raised.
 
-    Callers' tools read the code from JSON; they could tell nothing from the
-    page that the server would write. Headers that belong to the status, such
-    as ``Allow``, stay.
+    It has the same JSON body as other errors, since client libraries can't
+    read the code from the framework's HTML page. Headers that belong to the
+    status, such as ``Allow``, are kept.
     """
-    answer = quart.Response(
-        describe_error(
+    response = quart.Response(
+        encode_error(
             errors.CallError(
                 errors.INVALID_REQUEST,
                 error.description or error.name,
@@ -75,6 +75,6 @@
     )
     for name, value in error.get_headers():
         if name.lower() != "content-type":
-            answer.headers.add(name, value)
-    answer.content_type = "application/json"
-    return answer
+            response.headers.add(name, value)
+    response.content_type = "application/json"
+    return response
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_answers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers of generations, whole or streamed."""
+"""HTTP responses of generations, complete or streamed."""
 
 from collections import abc
 import typing
@@ -11,37 +11,39 @@
 from gentianpoint_entry import calls
 from gentianpoint_entry import error_answers
 
-__all__ = ("GENERATION_HEADER", "GenerationAnswerer")
+__all__ = ("GENERATION_HEADER", "GenerationResponder")
 
 GENERATION_HEADER: typing.Final = "Gentianpoint-Generation"
-"""Header with the identifier of an answer's generation."""
+"""Response header with the identifier of the generation."""
 _EVENT_STREAM: typing.Final = "text/event-stream"
 _JSON: typing.Final = "application/json"
 
 
-class GenerationAnswerer:
-    """Writes the answer of one call."""
+class GenerationResponder:
+    """Makes the HTTP response of one call."""
 
     def __init__(
-        self, call: calls.Call, form: type[answer_formats.AnswerFormat]
+        self, call: calls.Call, format_type: type[answer_formats.AnswerFormat]
     ) -> None:
-        """Write what ``call`` brings in the format ``form``."""
+        """Respond with the answer of ``call`` in ``format_type``."""
         self._call: typing.Final = call
-        self._form: typing.Final = form
+        self._format_type: typing.Final = format_type
 
     def _make_format(self) -> answer_formats.AnswerFormat:
-        return self._form(self._call.generation, self._call.request.service)
+        return self._format_type(
+            self._call.generation, self._call.request.service
+        )
 
-    async def answer_whole(self) -> quart.Response:
-        """Return the whole answer, or the error."""
+    async def make_complete_response(self) -> quart.Response:
+        """Return a response with the complete answer or the error."""
         texts: list[str] = []
         try:
             while True:
                 part = await self._call.receive()
-                if part.end:
+                if part.finish_reason:
                     break
-                # A part that begins again at number 1 is of another
-                # generation, which takes the place of one that broke off.
+                # Numbers that start again at 1 belong to a second generation,
+                # which replaces one that broke off.
                 texts[part.first - 1 :] = part.texts
         except errors.CallError as error:
             return error_answers.make_error_response(
@@ -49,13 +51,15 @@
             )
         finally:
             await self._call.close()
-        body = self._make_format().encode_whole("".join(texts), part)
-        return self._make_answer(body, _JSON)
+        body = self._make_format().encode_complete("".join(texts), part)
+        return self._make_response(body, _JSON)
 
-    async def answer_streamed(self, include_usage: bool) -> quart.Response:
-        """Return a stream that starts when the first item is there.
+    async def make_streamed_response(
+        self, include_usage: bool
+    ) -> quart.Response:
+        """Return a streamed response once the first item has arrived.
 
-        Until then an error still has its own HTTP status.
+        An error before that is reported with its own HTTP status.
         """
         try:
             first = await self._call.receive()
@@ -68,31 +72,31 @@
             await self._call.close()
             raise
         events = self._write_events(first, include_usage)
-        return self._make_answer(events, _EVENT_STREAM)
+        return self._make_response(events, _EVENT_STREAM)
 
     async def _write_events(
         self, part: call_requests.CallPart, include_usage: bool
     ) -> abc.AsyncGenerator[bytes, None]:
-        form = self._make_format()
+        answer_format = self._make_format()
         try:
-            while not part.end:
-                yield form.encode_events(part)
+            while not part.finish_reason:
+                yield answer_format.encode_events(part)
                 part = await self._call.receive()
-            yield form.encode_end(part, include_usage)
+            yield answer_format.encode_end(part, include_usage)
         except errors.CallError as error:
-            # The status is sent already: an explicit error event tells the
-            # caller that the answer is not whole, and no [DONE] follows.
-            body = error_answers.describe_error(error, self._call.generation)
+            # The status has already been sent, so an error event without a
+            # following [DONE] shows that the answer is incomplete.
+            body = error_answers.encode_error(error, self._call.generation)
             yield b"data: " + body + b"\n\n"
         finally:
             await self._call.close()
 
-    def _make_answer(
+    def _make_response(
         self,
         body: typing.Union[bytes, abc.AsyncGenerator[bytes, None]],
         content_type: str,
     ) -> quart.Response:
-        answer = quart.Response(body, content_type=content_type)
-        answer.headers[GENERATION_HEADER] = self._call.generation
-        answer.timeout = None
-        return answer
+        response = quart.Response(body, content_type=content_type)
+        response.headers[GENERATION_HEADER] = self._call.generation
+        response.timeout = None
+        return response
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
@@ -49,7 +49,7 @@
             caller_bodies.CompletionBody, caller_bodies.ChatBody
         ],
         customer: str,
-        form: type[answer_formats.AnswerFormat],
+        format_type: type[answer_formats.AnswerFormat],
     ) -> quart.Response:
         options = request_options.read_options(quart.request.headers)
         request = state.make_call_request(
@@ -62,29 +62,29 @@
             return await prepare(request)
         if options.key:
             request = await state.keys.bind(request, options.key)
-        call = open_calls.keep_call(
-            calls.Call(state.dispatcher, request, is_whole=not body.stream)
+        call = open_calls.close_after_request(
+            calls.Call(state.dispatcher, request, is_buffered=not body.stream)
         )
-        answerer = generation_answers.GenerationAnswerer(call, form)
+        responder = generation_answers.GenerationResponder(call, format_type)
         if body.stream:
             usage = body.stream_options
-            return await answerer.answer_streamed(
+            return await responder.make_streamed_response(
                 usage is not None and usage.include_usage
             )
-        return await answerer.answer_whole()
+        return await responder.make_complete_response()
 
     async def prepare(request: call_requests.CallRequest) -> quart.Response:
         prepared = await prepared_generations.prepare_generation(
             state.dispatcher, request
         )
-        answer = quart.Response(
+        response = quart.Response(
             msgspec.json.encode(
                 {"id": prepared, "object": "generation.prepared"}
             ),
             content_type=_JSON,
         )
-        answer.headers[generation_answers.GENERATION_HEADER] = prepared
-        return answer
+        response.headers[generation_answers.GENERATION_HEADER] = prepared
+        return response
 
     @routes.post("/completions")
     async def complete() -> quart.Response:
@@ -103,13 +103,13 @@
     @routes.get("/models")
     async def list_models() -> quart.Response:
         customer = authenticate()
-        rows = []
+        models = []
         for item in state.tail.state.list_resources(configuration.SERVICE):
             spec = specifications.decode_service(item.spec)
             if spec["kind"] == "model" and entry_state.is_answered(
                 spec, customer
             ):
-                rows.append(
+                models.append(
                     {
                         "id": item.name,
                         "object": "model",
@@ -117,17 +117,17 @@
                         "owned_by": "gentianpoint",
                     }
                 )
-        body = msgspec.json.encode({"object": "list", "data": rows})
+        body = msgspec.json.encode({"object": "list", "data": models})
         return quart.Response(body, content_type=_JSON)
 
-    def find_generation(
+    def make_resume_request(
         identifier: str, customer: str
     ) -> call_requests.CallRequest:
         parsed = generation_ids.parse_generation_id(identifier)
         if parsed.is_error():
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "this is no identifier of a generation",
+                "not a valid generation identifier",
                 step="find generation",
             )
         link = state.dispatcher.pool.find_target_link(parsed.ok.target)
@@ -150,31 +150,31 @@
     @routes.get("/generations/<identifier>")
     async def resume(identifier: str) -> quart.Response:
         customer = authenticate()
-        request = find_generation(identifier, customer)
+        request = make_resume_request(identifier, customer)
         after = request_options.read_after(quart.request.args)
-        call = open_calls.keep_call(
+        call = open_calls.close_after_request(
             calls.Call(state.dispatcher, request, after)
         )
-        answerer = generation_answers.GenerationAnswerer(
+        responder = generation_answers.GenerationResponder(
             call, answer_formats.CompletionFormat
         )
         if request_options.wants_stream(
             quart.request.headers, quart.request.args
         ):
-            return await answerer.answer_streamed(True)
-        return await answerer.answer_whole()
+            return await responder.make_streamed_response(True)
+        return await responder.make_complete_response()
 
     @routes.delete("/generations/<identifier>")
     async def cancel(identifier: str) -> quart.Response:
         customer = authenticate()
-        request = find_generation(identifier, customer)
+        request = make_resume_request(identifier, customer)
         known = await prepared_generations.cancel_generation(
             state.dispatcher, request
         )
         if not known:
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "no such generation is held",
+                "the generation does not exist or is no longer held",
                 step="cancel generation",
             )
         body = msgspec.json.encode({"id": identifier, "cancelled": True})
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
@@ -1,9 +1,9 @@
-"""Binding a call with an idempotency key to the generation it names.
+"""Binding of calls with an idempotency key to one generation.
 
-An identifier is prepared at an agent and then claimed for the key. Whoever
-comes with the key starts what the claim names, and the identifier's home
-starts that once. So an entry may die after any step, and two entries may
-race: nothing but the claimed identifier ever runs.
+An entry prepares a generation identifier at an agent and then claims the key
+for it in the log. Every call with the key starts the claimed identifier, and
+the identifier's home starts it only once. An entry may therefore fail after
+any step, and two entries may race: only the claimed identifier ever runs.
 """
 
 import hashlib
@@ -28,24 +28,24 @@
 
 
 def _digest(parts: typing.Sequence[typing.Any]) -> bytes:
-    # CBOR marks where each part ends; parts that are merely joined would
-    # make one customer's key look like another's.
+    # CBOR delimits the parts. Plain concatenation would give two customers
+    # with different keys the same digest.
     return hashlib.sha256(cbor2.dumps(list(parts))).digest()[:_DIGEST_BYTES]
 
 
 def name_stream(customer: str, key: str) -> str:
-    """Return the stream of a customer's key.
+    """Return the name of the log stream of a customer's key.
 
-    It is named by a digest: keys may hold what only the customer may know.
+    The name is a digest, since a key may contain confidential data.
     """
     return _STREAM_PREFIX + _digest((customer, key)).hex()
 
 
 def digest_request(service: str, request: messages.Request) -> bytes:
-    """Return the digest of what a target would be asked.
+    """Return the digest of a request to a service.
 
-    Headers of plain calls are left out, since hops before the entry may add
-    their own to a repeat.
+    The headers of plain calls are left out, since proxies in front of the
+    entry may add different ones to a repeated request.
     """
     parts = (
         service,
@@ -60,7 +60,7 @@
 
 
 class KeyClaims:
-    """Binds keyed calls."""
+    """Binds calls with idempotency keys to generations."""
 
     def __init__(
         self,
@@ -68,7 +68,10 @@
         dispatcher: dispatch.Dispatcher,
         tail: configuration_tail.ConfigurationTail,
     ) -> None:
-        """Prepare with ``dispatcher`` and claim in ``streams``."""
+        """Prepare with ``dispatcher`` and claim in ``streams``.
+
+        ``tail`` tells whether the log is available.
+        """
         self._streams: typing.Final = streams
         self._dispatcher: typing.Final = dispatcher
         self._tail: typing.Final = tail
@@ -76,22 +79,22 @@
     async def bind(
         self, request: call_requests.CallRequest, key: str
     ) -> call_requests.CallRequest:
-        """Return the request with the identifier that its key names.
+        """Return the request with the generation claimed for its key.
 
         Raises :class:`errors.CallError` with ``invalid_request`` when the
-        key stands for another request, and with ``outcome_unknown`` when
-        the claim can't be found out.
+        key was used for a different request, and with ``outcome_unknown``
+        when the claim can't be determined.
         """
         marker = dispatch.OpenCall()
         fresh = request._replace(retry_share=0.0)
-        # The call counts as open from here: an entry that is told to stop
-        # would else cut it between claim and start.
+        # Registered as open from here on, since a shutdown could otherwise
+        # cut the call off between its claim and its start.
         self._dispatcher.add_call(marker, fresh)
         try:
             with self._dispatcher.shutdown.limit_wait(
-                lambda: claim_streams.make_unknown(
-                    "this entry ends before the key is bound; send the same"
-                    " key again",
+                lambda: claim_streams.make_unknown_outcome(
+                    "the entry shut down before the key was bound; send the"
+                    " same key again",
                     name_stream(request.customer, key),
                 )
             ):
@@ -107,8 +110,8 @@
     ) -> call_requests.CallRequest:
         stream = name_stream(request.customer, key)
         if not self._tail.is_log_available():
-            raise claim_streams.make_unknown(
-                "the log is out; send the same key again", stream
+            raise claim_streams.make_unknown_outcome(
+                "the log is unavailable; send the same key again", stream
             )
         digest = digest_request(request.service, request.request)
         claim = await self._streams.find_claim(stream)
@@ -133,7 +136,7 @@
         if claim.request != digest:
             raise errors.CallError(
                 errors.INVALID_REQUEST,
-                "Idempotency-Key: it was used for another request",
+                "Idempotency-Key: already used for a different request",
                 step="read headers",
             )
         return request._replace(generation=claim.generation)
@@ -148,9 +151,9 @@
         except errors.CallError as error:
             if error.code != errors.NOT_RUN:
                 raise
-            # This call started nothing, but another one with the key may
-            # have claimed and started since the stream was read.
-            raise claim_streams.make_unknown(
+            # This call started nothing, but since the stream was read another
+            # call with the same key may have claimed it and started.
+            raise claim_streams.make_unknown_outcome(
                 f"{error.reason}; send the same key again",
                 stream,
                 error.retry_after_ms,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
@@ -1,4 +1,4 @@
-"""Which agents this entry keeps connections to."""
+"""Selection of the agents that an entry connects to, and its links."""
 
 from collections import abc
 import math
@@ -19,17 +19,18 @@
     "compute_min_links",
 )
 
-_ENTRIES_FOR_AN_AGENT: typing.Final = 6
-_LEAST_SHARE: typing.Final = 2
-_FAILURES_TO_PASS_OVER: typing.Final = 3
-_PASSED_OVER_MS: typing.Final = 30_000
+_ENTRIES_PER_AGENT: typing.Final = 6
+_MIN_LINKS: typing.Final = 2
+_FAILURES_UNTIL_UNREACHABLE: typing.Final = 3
+_UNREACHABLE_MS: typing.Final = 30_000
 
 
 def compute_min_links(links_per_service: int, processes_on_host: int) -> int:
-    """Return the fewest links per service of one of a host's entries.
+    """Return the least number of links per service of one entry process.
 
-    The processes of a host share its budget for control, so they share its
-    links; two are the fewest among which a placement can choose.
+    The entry processes of a host share its budget for control traffic, so
+    they divide its links. Each keeps at least two, since placement needs two
+    candidates to choose between.
 
     >>> compute_min_links(links_per_service=4, processes_on_host=2)
     2
@@ -37,16 +38,16 @@
     2
     """
     shared = math.ceil(links_per_service / processes_on_host)
-    return max(min(_LEAST_SHARE, links_per_service), shared)
+    return max(min(_MIN_LINKS, links_per_service), shared)
 
 
 def compute_link_count(agents: int, entries: int, fewest: int) -> int:
-    """Return the number of a service's agents an entry connects to.
+    """Return the number of a service's agents that an entry connects to.
 
-    At least ``fewest``, and so many that an agent has connections from
-    about six entries: with few entries and many agents a fixed number would
-    leave agents idle, and with many entries a large one costs each of them
-    heartbeats and reports that it has no use for.
+    It is at least ``fewest``, and high enough that each agent has
+    connections from about six entries. A fixed number would leave agents
+    idle when there are few entries and many agents, and with many entries a
+    large number costs each of them needless heartbeats and reports.
 
     >>> compute_link_count(agents=245, entries=380, fewest=4)
     4
@@ -54,7 +55,7 @@
     36
     """
     return max(
-        fewest, math.ceil(_ENTRIES_FOR_AN_AGENT * agents / max(1, entries))
+        fewest, math.ceil(_ENTRIES_PER_AGENT * agents / max(1, entries))
     )
 
 
@@ -63,7 +64,7 @@
     entry: str,
     data_centre: str,
     links_per_service: int,
-    passed_over: abc.Container[str] = (),
+    unreachable: abc.Container[str] = (),
 ) -> abc.Sequence[ports.Host]:
     """Return the agents to which an entry keeps connections.
 
@@ -71,7 +72,7 @@
     :func:`compute_link_count`. Agents in the entry's own data centre come
     first; among equals the order is by the highest hash of entry and host
     (rendezvous hashing), which spreads the entries over the agents and moves
-    few links when a host is added or removed. ``passed_over`` hosts come
+    few links when a host is added or removed. ``unreachable`` hosts come
     last.
 
     >>> host = ports.Host("h1", "agent", "s", "t", "a:1", "north", "live")
@@ -82,7 +83,7 @@
     def rank(host: ports.Host) -> tuple[bool, bool, int]:
         weight = xxhash.xxh64_intdigest(f"{entry}/{host.host}".encode())
         is_far = host.data_centre != data_centre
-        return host.host in passed_over, is_far, -weight
+        return host.host in unreachable, is_far, -weight
 
     entries = 0
     by_service: dict[str, list[ports.Host]] = {}
@@ -98,7 +99,7 @@
 
 
 class LinkPool:
-    """The links of one entry, one task each."""
+    """The links of one entry; each runs in a task of its own."""
 
     def __init__(
         self,
@@ -107,7 +108,10 @@
         links_per_service: int,
         configure: abc.Callable[[agent_links.AgentLink], abc.Awaitable[None]],
     ) -> None:
-        """Run links in ``nursery``."""
+        """Run links in ``nursery``.
+
+        ``configure`` sends the configuration to the agent of a link.
+        """
         self._nursery: typing.Final = nursery
         self._settings: typing.Final = settings
         self._links_per_service: typing.Final = links_per_service
@@ -115,41 +119,41 @@
         self._links: typing.Final[dict[str, agent_links.AgentLink]] = {}
         self._scopes: typing.Final[dict[str, trio.CancelScope]] = {}
         self._hosts: dict[str, ports.Host] = {}
-        self._passed_over: typing.Final[dict[str, deadlines.Deadline]] = {}
-        self._wanted = 0
+        self._unreachable: typing.Final[dict[str, deadlines.Deadline]] = {}
+        self._wanted_count = 0
         self._changed = trio.Event()
 
     async def wait_changed(self) -> None:
-        """Wait until a link is connected, lost, or could not connect."""
+        """Wait until a link connects, is lost or fails to connect."""
         await self._changed.wait()
 
     def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
-        self._replace_lost()
+        self._replace_unreachable()
 
-    def _replace_lost(self) -> None:
-        """Take other agents for those that can't be reached for a while.
+    def _replace_unreachable(self) -> None:
+        """Connect to other agents in place of unreachable ones.
 
-        An entry has few agents of a service, two when its host runs several
-        entries, and a switch takes them all at once. The host list shows it
-        minutes later; until then callers would be refused though other
-        agents of the service are idle.
+        An entry has links to few agents of a service, only two when its host
+        runs several entries, and the failure of one network switch can cut
+        all of them. The host list reflects that only minutes later; until
+        then calls would be refused although other agents are idle.
         """
         lost = [
             name
             for name, link in self._links.items()
-            if link.failures >= _FAILURES_TO_PASS_OVER
-            and name not in self._passed_over
+            if link.failures >= _FAILURES_UNTIL_UNREACHABLE
+            and name not in self._unreachable
         ]
-        # An entry that is itself cut off reaches nobody, and would else end
-        # up trying every agent there is each second.
-        spare = max(0, self._wanted - len(self._passed_over))
+        # An entry that is itself cut off reaches no agent. Without this limit
+        # it would end up trying every agent each second.
+        spare = max(0, self._wanted_count - len(self._unreachable))
         lost = lost[:spare]
         for name in lost:
-            self._passed_over[name] = deadlines.make_deadline(_PASSED_OVER_MS)
+            self._unreachable[name] = deadlines.make_deadline(_UNREACHABLE_MS)
         if lost:
-            self._follow_choice()
+            self._reconcile_links()
 
     def list_links(self, service: str) -> abc.Sequence[agent_links.AgentLink]:
         """Return the links to agents of a service."""
@@ -166,16 +170,16 @@
     def find_target_link(
         self, target: str, incarnation: str = ""
     ) -> typing.Optional[agent_links.AgentLink]:
-        """Return the link to a target's agent, opening one if need be.
+        """Return the link to a target's agent and open one if necessary.
 
-        With several agents of one target, that of the run ``incarnation``
-        comes first unless it is lost for longer than a moment, then one that
-        is connected. None when the host list names no agent of the target.
+        If the target has several agents, the one with ``incarnation`` is
+        preferred while its link is connected or recovering, then any
+        connected one. None when the host list has no agent of the target.
         """
         links = self._list_target_links(target)
         if not any(link.is_connected() for link in links):
             links += [
-                self._open(host)
+                self._open_link(host)
                 for host in self._hosts.values()
                 if host.target == target
                 and host.role == "agent"
@@ -184,7 +188,7 @@
         return max(
             links,
             key=lambda link: (
-                _holds_run(link, incarnation),
+                _reaches_run(link, incarnation),
                 link.is_connected(),
             ),
             default=None,
@@ -196,49 +200,49 @@
         ]
 
     def update_hosts(self, hosts: abc.Iterable[ports.Host]) -> None:
-        """Follow a new reading of the host list.
+        """Apply a new version of the host list.
 
-        A host that is leaving, or that the list has lost, gets no new calls;
-        its link stays while calls run on it.
+        A host that is leaving or no longer listed gets no new calls; its
+        link stays open while calls run on it.
         """
         self._hosts = {host.host: host for host in hosts}
-        for name, until in tuple(self._passed_over.items()):
+        for name, until in tuple(self._unreachable.items()):
             if until.is_past() or name not in self._hosts:
-                del self._passed_over[name]
-        self._follow_choice()
+                del self._unreachable[name]
+        self._reconcile_links()
 
-    def _follow_choice(self) -> None:
-        """Open the links that are missing and close those not wanted."""
+    def _reconcile_links(self) -> None:
+        """Open missing links and close those that are no longer chosen."""
         chosen = choose_hosts(
             self._hosts.values(),
             self._settings.name,
             self._settings.data_centre,
             self._links_per_service,
-            self._passed_over,
+            self._unreachable,
         )
         wanted = {host.host: host for host in chosen}
-        self._wanted = len(wanted)
+        self._wanted_count = len(wanted)
         for name, host in wanted.items():
             link = self._links.get(name)
             if link is not None and link.host.address != host.address:
-                self._close(name)
+                self._close_link(name)
                 link = None
             if link is None:
-                self._open(host)
+                self._open_link(host)
         for name, link in tuple(self._links.items()):
-            link.links = self._wanted
+            link.links = self._wanted_count
             listed = self._hosts.get(name)
             if listed is None or listed.state != "live":
-                link.mark_leaving("the host list says so")
-            # A link that is passed over goes on trying: calls that were cut
-            # with it wait for its agent to come back.
-            is_kept = name in wanted or name in self._passed_over
+                link.mark_leaving("not listed as live in the host list")
+            # The link of an unreachable agent keeps reconnecting, since the
+            # calls that were cut off with it wait for the agent.
+            is_kept = name in wanted or name in self._unreachable
             if not is_kept and not link.count_calls():
-                self._close(name)
+                self._close_link(name)
 
-    def _open(self, host: ports.Host) -> agent_links.AgentLink:
+    def _open_link(self, host: ports.Host) -> agent_links.AgentLink:
         link = agent_links.AgentLink(
-            host, self._settings, self._notify, self._wanted
+            host, self._settings, self._notify, self._wanted_count
         )
         scope = trio.CancelScope()
         self._links[host.host] = link
@@ -252,13 +256,13 @@
         with scope:
             await link.run(self._configure)
 
-    def _close(self, name: str) -> None:
+    def _close_link(self, name: str) -> None:
         self._links.pop(name)
         self._scopes.pop(name).cancel()
 
 
-def _holds_run(link: agent_links.AgentLink, incarnation: str) -> bool:
-    """Tell whether a run of an agent answers on a link, or soon will."""
+def _reaches_run(link: agent_links.AgentLink, incarnation: str) -> bool:
+    """Tell whether a link leads to an agent process or may soon again."""
     return (
         link.welcome is not None
         and link.welcome["incarnation"] == incarnation
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_settings.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_settings.py
@@ -1,4 +1,4 @@
-"""What all links of an entry to agents have in common."""
+"""Settings that all links of an entry to agents share."""
 
 import typing
 
@@ -9,12 +9,12 @@
 
 
 def compute_report_ms(links: int) -> int:
-    """Return the least time between reports of an agent, milliseconds.
+    """Return the least interval between reports of an agent, milliseconds.
 
-    ``links`` counts those of all entry processes on the host, which share
-    its budget for control traffic, and reports may take about a third of it.
-    With many links each one gets a smaller share, so reports come less
-    often; the entry's own sends since the last report fill the gap.
+    ``links`` is the number of links of all entry processes on the host. They
+    share its budget for control traffic, of which reports may use about a
+    third. The more links, the smaller the share of each and the rarer its
+    reports; between two reports the entry counts the calls that it sent.
 
     >>> compute_report_ms(3)
     500
@@ -23,23 +23,24 @@
 
 
 class LinkSettings(typing.NamedTuple):
-    """What all links of an entry have in common."""
+    """Settings that all links of an entry share."""
 
     name: str
-    """Host of this entry."""
+    """Name of this entry's host."""
     incarnation: str
-    """Run of this entry's process."""
+    """Identifier of this run of the entry process."""
     data_centre: str
     """Data centre of this entry."""
     peer_key: str
-    """Key that the processes of the deployment share."""
+    """Secret key with which the deployment's processes authenticate."""
     heartbeat_ms: int
     """Time between heartbeats, milliseconds."""
     silence_ms: int
-    """Silence after which a connection is lost, milliseconds."""
+    """Time without a message after which a connection counts as lost,
+    milliseconds."""
     window: int
-    """Items of a call that may be on the way."""
+    """Largest number of items of a call in flight."""
     max_message_bytes: int
-    """Largest message taken from an agent, bytes."""
+    """Largest message accepted from an agent, bytes."""
     processes_on_host: int = 1
-    """Entry processes on this entry's host."""
+    """Number of entry processes on this entry's host."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/open_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/open_calls.py
@@ -1,10 +1,10 @@
-"""Calls that belong to an HTTP request, closed when the request is over.
+"""Calls of an HTTP request, which are closed when the request ends.
 
-A streamed answer closes its call in the ``finally`` of its generator. One
-that is never begun, since its caller went away before the first write or its
-head could not be made, never comes to that. Its call would stay open until
-its link ends: the agent would hold the generation for a reader that is gone,
-and an entry that is told to stop would wait for it.
+A streamed response closes its call in the ``finally`` of its generator. The
+generator never runs if the caller disconnects before the first write or if
+the response headers are invalid. The call would then stay open until its
+link is lost: the agent would keep the generation for a reader that is gone,
+and the shutdown of the entry would wait for the call.
 """
 
 from collections import abc
@@ -15,7 +15,7 @@
 
 from gentianpoint_entry import calls
 
-__all__ = ("ClosingMiddleware", "keep_call")
+__all__ = ("ClosingMiddleware", "close_after_request")
 
 _SCOPE_KEY: typing.Final = "gentianpoint.calls"
 
@@ -29,22 +29,22 @@
 ]
 
 
-def keep_call(call: calls.Call) -> calls.Call:
-    """Have ``call`` closed at the end of the current request, at latest."""
-    _list_calls(quart.request.scope).append(call)
+def close_after_request(call: calls.Call) -> calls.Call:
+    """Close ``call`` at the latest when the current request ends."""
+    _get_calls(quart.request.scope).append(call)
     return call
 
 
-def _list_calls(scope: hypercorn.typing.Scope) -> list[calls.Call]:
+def _get_calls(scope: hypercorn.typing.Scope) -> list[calls.Call]:
     kept = typing.cast(dict[str, list[calls.Call]], scope)
     return kept.setdefault(_SCOPE_KEY, [])
 
 
 class ClosingMiddleware:
-    """An ASGI application around another that closes what requests keep."""
+    """ASGI middleware that closes the calls of each request."""
 
     def __init__(self, app: _App) -> None:
-        """Pass all requests on to ``app``."""
+        """Wrap ``app``, which gets all requests."""
         self._app: typing.Final = app
 
     async def __call__(
@@ -53,9 +53,9 @@
         receive: hypercorn.typing.ASGIReceiveCallable,
         send: hypercorn.typing.ASGISendCallable,
     ) -> None:
-        """Serve one request and close its calls, however it ends."""
+        """Serve one request and close its calls, even after an error."""
         try:
             await self._app(scope, receive, send)
         finally:
-            for call in _list_calls(scope):
+            for call in _get_calls(scope):
                 await call.close()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/placement.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/placement.py
@@ -1,4 +1,4 @@
-"""The placement policies by the names that the settings allow."""
+"""Placement policies by their names in the settings."""
 
 from collections import abc
 import random
@@ -12,7 +12,7 @@
 
 
 class _RoundRobinPolicy(placement_policy.PlacementPolicy):
-    """Takes the candidates in turn."""
+    """Selects the candidates in turn."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -22,30 +22,30 @@
         candidates: abc.Sequence[agent_links.AgentLink],
         prompt: str,
     ) -> agent_links.AgentLink:
-        """Return the next."""
+        """Return the next candidate."""
         self._count += 1
         return candidates[self._count % len(candidates)]
 
 
 class _FewestOutstandingPolicy(placement_policy.PlacementPolicy):
-    """Takes the link with the fewest calls of this entry."""
+    """Selects the link with the fewest open calls of this entry."""
 
     def choose(
         self,
         candidates: abc.Sequence[agent_links.AgentLink],
         prompt: str,
     ) -> agent_links.AgentLink:
-        """Return the one with the fewest open calls."""
+        """Return the candidate with the fewest open calls."""
         return min(candidates, key=lambda link: link.count_calls())
 
 
 def make_placement_policy(
     name: str, data_centre: str, seed: typing.Optional[str] = None
 ) -> placement_policy.PlacementPolicy:
-    """Return the policy of a name that the settings allow.
+    """Return the policy with a name that the settings allow.
 
-    ``data_centre`` is the entry's own; ``seed`` makes the choices the same
-    each time.
+    ``data_centre`` is the entry's own. A ``seed`` makes the random choices
+    reproducible.
     """
     match name:
         case "round_robin":
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/placement_policy.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/placement_policy.py
@@ -1,4 +1,4 @@
-"""What all placement policies have in common."""
+"""Interface of the placement policies."""
 
 import abc
 from collections import abc as collections_abc
@@ -9,7 +9,7 @@
 
 
 class PlacementPolicy(abc.ABC):
-    """Chooses among the usable links of a service."""
+    """Chooses the link for a call among the usable links of a service."""
 
     @abc.abstractmethod
     def choose(
@@ -17,7 +17,7 @@
         candidates: collections_abc.Sequence[agent_links.AgentLink],
         prompt: str,
     ) -> agent_links.AgentLink:
-        """Return one of ``candidates``, of which there is at least one.
+        """Return one of the ``candidates``, which are never empty.
 
-        Must not wait, and must choose without any report.
+        An implementation must not block and must work without any reports.
         """
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
@@ -1,4 +1,4 @@
-"""Routes for plain services: calls are passed through whole."""
+"""Routes of plain services, whose requests are forwarded unchanged."""
 
 from collections import abc
 import typing
@@ -32,9 +32,9 @@
     ("GET", "HEAD", "PUT", "DELETE", "OPTIONS")
 )
 _PREFIX: typing.Final = "/services/"
-# Headers of one connection, which must not travel to the next (RFC 9110),
-# and those that are this system's own.
-_OWN_HEADERS: typing.Final = frozenset(
+# Hop-by-hop headers, which must not be forwarded (RFC 9110), and headers that
+# the entry itself consumes.
+_UNFORWARDED_HEADERS: typing.Final = frozenset(
     (
         "authorization",
         "connection",
@@ -52,39 +52,42 @@
 )
 
 
-def _is_passed(name: str) -> bool:
+def _is_forwarded(name: str) -> bool:
     lower = name.lower()
-    return lower not in _OWN_HEADERS and not lower.startswith("gentianpoint-")
+    return lower not in _UNFORWARDED_HEADERS and not lower.startswith(
+        "gentianpoint-"
+    )
 
 
-def _list_passed_headers() -> abc.Sequence[abc.Sequence[str]]:
-    """Return the caller's headers as they came, but for those of one hop.
+def _list_forwarded_headers() -> abc.Sequence[abc.Sequence[str]]:
+    """Return the caller's original headers without hop-by-hop ones.
 
-    The framework's own list would have one more, with the caller's address.
+    They come from the ASGI scope, since the framework adds a header with the
+    caller's address to its own list.
     """
     named = quart.request.headers.get("Connection", "").lower().split(",")
-    one_hop = {name.strip() for name in named}
+    connection_headers = {name.strip() for name in named}
     return [
         [name, value.decode("latin-1")]
         for raw_name, value in quart.request.scope["headers"]
-        if _is_passed(name := raw_name.decode("latin-1"))
-        and name.lower() not in one_hop
+        if _is_forwarded(name := raw_name.decode("latin-1"))
+        and name.lower() not in connection_headers
     ]
 
 
-def _read_target(service: str) -> str:
-    """Return the path below the service, and the query, as they came.
+def _read_request_target(service: str) -> str:
+    """Return the original path below the service, with the query.
 
-    A decoded path can't be encoded again as it was: an encoded question
-    mark in it would start the query, and the service would see another
-    call than the caller made.
+    Decoding and encoding the path again could change it: an encoded question
+    mark would become the start of the query, and the service would get a
+    different request from the one that the caller sent.
     """
     raw = quart.request.scope["raw_path"].decode("latin-1")
     before, _, path = raw.removeprefix(_PREFIX).partition("/")
     if not raw.startswith(_PREFIX) or parse.unquote(before) != service:
         raise errors.CallError(
             errors.INVALID_REQUEST,
-            "a slash before the path of the service is encoded",
+            "the slash between service and path must not be encoded",
             step="read path",
         )
     query = quart.request.query_string.decode("latin-1")
@@ -97,13 +100,13 @@
         "prompt": "",
         "max_tokens": 0,
         "method": quart.request.method,
-        "path": _read_target(service),
-        "headers": _list_passed_headers(),
+        "path": _read_request_target(service),
+        "headers": _list_forwarded_headers(),
         "body": body,
     }
 
 
-async def _answer(call: calls.Call) -> quart.Response:
+async def _make_response(call: calls.Call) -> quart.Response:
     try:
         part = await call.receive()
     except BaseException as error:
@@ -112,27 +115,29 @@
             return error_answers.make_error_response(error, call.generation)
         raise
     status, headers = cbor2.loads(part.chunks[0])
-    answer = quart.Response(_pass_chunks(call, part.chunks[1:]), status=status)
-    answer.timeout = None
-    answer.headers.clear()
+    response = quart.Response(
+        _stream_chunks(call, part.chunks[1:]), status=status
+    )
+    response.timeout = None
+    response.headers.clear()
     for name, value in headers:
-        if _is_passed(name) or name.lower() == "content-length":
-            answer.headers.add(name, value)
-    answer.headers["Gentianpoint-Generation"] = call.generation
-    return answer
+        if _is_forwarded(name) or name.lower() == "content-length":
+            response.headers.add(name, value)
+    response.headers["Gentianpoint-Generation"] = call.generation
+    return response
 
 
-async def _pass_chunks(
+async def _stream_chunks(
     call: calls.Call, chunks: abc.Sequence[bytes]
 ) -> abc.AsyncGenerator[bytes, None]:
-    # An error in the middle ends the connection without the closing chunk,
-    # by which every HTTP client sees that the body is not whole.
+    # After an error the connection closes without the last chunk, by which
+    # HTTP clients detect that the body is incomplete.
     try:
         while True:
             for chunk in chunks:
                 yield chunk
             part = await call.receive()
-            if part.end:
+            if part.finish_reason:
                 return
             chunks = part.chunks
     finally:
@@ -168,7 +173,9 @@
             )
         if options.key:
             request = await state.keys.bind(request, options.key)
-        call = open_calls.keep_call(calls.Call(state.dispatcher, request))
-        return await _answer(call)
+        call = open_calls.close_after_request(
+            calls.Call(state.dispatcher, request)
+        )
+        return await _make_response(call)
 
     return routes
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
@@ -1,7 +1,7 @@
-"""Generations that were given out and not started, or are to end.
+"""Preparing and cancelling generations by their identifiers.
 
-An identifier is asked for before a request that may run only once is started,
-and a generation is cancelled by its identifier through any entry.
+An identifier is prepared before a non-repeatable request is started. Any
+entry can cancel a generation by its identifier.
 """
 
 import typing
@@ -18,31 +18,31 @@
 
 __all__ = ("cancel_generation", "prepare_generation")
 
-_CANCEL_WITHIN_S: typing.Final = 10
+_CANCEL_TIMEOUT_S: typing.Final = 10
 
 
 async def prepare_generation(
     dispatcher: dispatch.Dispatcher, request: call_requests.CallRequest
 ) -> str:
-    """Return an identifier that a later call starts, once.
+    """Return a new identifier with which one generation can be started.
 
-    Raises :class:`errors.CallError` with ``not_run`` when no target gives
-    one out.
+    Raises :class:`errors.CallError` with ``not_run`` when no agent issues
+    one.
     """
     call = calls.Call(dispatcher, request)
     try:
-        with dispatcher.shutdown.limit_wait(_make_overdue):
+        with dispatcher.shutdown.limit_wait(_make_shutdown_error):
             while not call.generation:
-                await call.prepare_somewhere()
+                await call.prepare_at_any_agent()
     finally:
         dispatcher.forget_call(call)
     return call.generation
 
 
-def _make_overdue() -> errors.CallError:
+def _make_shutdown_error() -> errors.CallError:
     return errors.CallError(
         errors.NOT_RUN,
-        "this entry ends before an identifier came",
+        "the entry shut down before it got an identifier",
         step="prepare generation",
         retry_after_ms=dispatch.RETRY_AFTER_MS,
     )
@@ -53,23 +53,26 @@
 ) -> bool:
     """Cancel a generation; False when its home does not hold it.
 
-    A lost link is tried again for some seconds: cancelling is idempotent.
-    Raises :class:`errors.CallError` with ``outcome_unknown`` when the home
-    does not answer, or the entry ends before it does: it may run on.
+    Cancelling is idempotent, so it is retried for some seconds after a lost
+    link. Raises :class:`errors.CallError` with ``outcome_unknown`` when the
+    home does not answer in time or the entry shuts down first; the
+    generation may then still run.
     """
     marker = dispatch.OpenCall()
     dispatcher.add_call(marker, request)
     try:
-        with dispatcher.shutdown.limit_wait(_make_uncancelled):
-            with trio.move_on_after(_CANCEL_WITHIN_S):
+        with dispatcher.shutdown.limit_wait(_make_cancel_error):
+            with trio.move_on_after(_CANCEL_TIMEOUT_S):
                 return await _cancel(dispatcher, request)
-        raise _make_uncancelled("its home does not answer; cancel it again")
+        raise _make_cancel_error("the home does not answer; cancel it again")
     finally:
         dispatcher.forget_call(marker)
 
 
-def _make_uncancelled(
-    reason: str = "this entry ends before its home answers; cancel it again",
+def _make_cancel_error(
+    reason: str = (
+        "the entry shut down before the home answered; cancel it again"
+    ),
     retry_after_ms: int = dispatch.RETRY_AFTER_MS,
 ) -> errors.CallError:
     return errors.CallError(
@@ -85,10 +88,10 @@
 ) -> bool:
     while True:
         try:
-            link = await dispatcher.wait_home(request.generation)
+            link = await dispatcher.wait_for_home(request.generation)
             answer = await _ask_to_cancel(link, request)
         except dispatch.HomeLostError as error:
-            raise _make_uncancelled(str(error), 0) from error
+            raise _make_cancel_error(str(error), 0) from error
         except peer_connections.PeerConnectionError:
             continue
         if answer is not None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
@@ -1,4 +1,4 @@
-"""Headers and arguments by which callers say more than their tools know."""
+"""Headers and query arguments that extend the standard API."""
 
 import typing
 
@@ -22,10 +22,10 @@
 _FALSE: typing.Final = "false"
 _KEY_HEADER: typing.Final = "Idempotency-Key"
 _GENERATION_HEADER: typing.Final = "Gentianpoint-Generation"
-_MOST_KEY_CHARACTERS: typing.Final = 255
+_MAX_KEY_CHARACTERS: typing.Final = 255
 
 
-def _refuse(field: str, reason: str) -> errors.CallError:
+def _make_invalid_request(field: str, reason: str) -> errors.CallError:
     return errors.CallError(
         errors.INVALID_REQUEST, f"{field}: {reason}", step="read headers"
     )
@@ -36,13 +36,15 @@
 ) -> typing.Optional[bool]:
     value = headers.get(name, "").lower()
     if value not in ("", _TRUE, _FALSE):
-        raise _refuse(name, "neither true nor false")
+        raise _make_invalid_request(name, "must be true or false")
     return None if not value else value == _TRUE
 
 
 def _read_number(name: str, value: str) -> int:
     if not (value.isascii() and value.isdecimal()) or len(value) > 12:
-        raise _refuse(name, "no whole number")
+        raise _make_invalid_request(
+            name, "must be a whole number of at most 12 digits"
+        )
     return int(value)
 
 
@@ -54,39 +56,40 @@
 
 
 def _read_key(headers: datastructures.Headers) -> str:
-    """Return the idempotency key; empty for none.
+    """Return the idempotency key; empty if the header is absent.
 
-    An empty or odd key is refused: passed over, its request would run twice
-    although its caller counts on the key.
+    An empty or malformed key is rejected. If it were ignored, the request
+    could run twice although its caller relies on the key.
     """
     values = headers.getlist(_KEY_HEADER)
     if not values:
         return ""
     key = values[0]
     if len(values) > 1:
-        raise _refuse(_KEY_HEADER, "given twice")
-    if not 1 <= len(key) <= _MOST_KEY_CHARACTERS or not key.isascii():
-        raise _refuse(
-            _KEY_HEADER, f"not of 1 to {_MOST_KEY_CHARACTERS} ASCII characters"
+        raise _make_invalid_request(_KEY_HEADER, "given more than once")
+    if not 1 <= len(key) <= _MAX_KEY_CHARACTERS or not key.isascii():
+        raise _make_invalid_request(
+            _KEY_HEADER,
+            f"must have 1 to {_MAX_KEY_CHARACTERS} ASCII characters",
         )
     if _GENERATION_HEADER in headers or wants_prepare(headers):
-        raise _refuse(
-            _KEY_HEADER, "a key and a prepared identifier exclude each other"
+        raise _make_invalid_request(
+            _KEY_HEADER, "can't be combined with a prepared identifier"
         )
     return key
 
 
 def may_have_run(headers: datastructures.Headers) -> bool:
-    """Tell whether an earlier try of the request may have run it.
+    """Tell whether an earlier attempt at the request may have run.
 
-    An entry that knows nothing of such a try must not say that the request
-    did not run.
+    An entry that has no record of that attempt must not answer that the
+    request did not run.
     """
     return _KEY_HEADER in headers or _GENERATION_HEADER in headers
 
 
 def read_options(headers: datastructures.Headers) -> entry_state.CallOptions:
-    """Return what a request's headers say."""
+    """Return the call options of a request's headers."""
     within = headers.get("Gentianpoint-Deadline-Ms", "0")
     return entry_state.CallOptions(
         _read_flag(headers, "Gentianpoint-Repeatable"),
@@ -97,7 +100,7 @@
 
 
 def wants_prepare(headers: datastructures.Headers) -> bool:
-    """Tell whether the caller asks for an identifier only."""
+    """Tell whether the caller only wants a prepared identifier."""
     return bool(_read_flag(headers, "Gentianpoint-Prepare"))
 
 
@@ -105,21 +108,23 @@
     headers: datastructures.Headers,
     arguments: datastructures.MultiDict[str, str],
 ) -> bool:
-    """Tell whether a resumed answer shall be streamed."""
+    """Tell whether a resumed answer is to be streamed."""
     accept = headers.get("Accept", "")
     return "text/event-stream" in accept or arguments.get("stream") == _TRUE
 
 
 def read_after(arguments: datastructures.MultiDict[str, str]) -> int:
-    """Return the number of the last item that the caller has."""
+    """Return the number of the last item that the caller received."""
     return _read_number("after", arguments.get("after", "0"))
 
 
 def read_limit(
-    arguments: datastructures.MultiDict[str, str], most: int
+    arguments: datastructures.MultiDict[str, str], maximum: int
 ) -> int:
-    """Return how many rows of a list are wanted, from 1 to ``most``."""
-    wanted = _read_number("limit", arguments.get("limit", str(most)))
-    if not 1 <= wanted <= most:
-        raise _refuse("limit", f"not between 1 and {most}")
+    """Return the requested number of list rows, 1 to ``maximum``."""
+    wanted = _read_number("limit", arguments.get("limit", str(maximum)))
+    if not 1 <= wanted <= maximum:
+        raise _make_invalid_request(
+            "limit", f"must be between 1 and {maximum}"
+        )
     return wanted
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/retry_budgets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/retry_budgets.py
@@ -1,9 +1,9 @@
-"""Retry budgets: retries can't amplify an overload.
+"""Retry budgets, which keep retries from amplifying an overload.
 
-Each fresh request of a service adds a share of one retry to the service's
-budget; each retry takes one. When all targets refuse or die, the attempts
-stay under ``1 + share`` a request, plus a small reserve, however many
-requests fail.
+Each new request of a service adds a fraction of one retry to the service's
+budget, and each retry spends one. Even if every target refuses or fails, the
+number of attempts stays below ``1 + share`` per request plus a small initial
+budget.
 """
 
 import typing
@@ -11,29 +11,29 @@
 __all__ = ("DEFAULT_RETRY_SHARE", "RetryBudgets")
 
 DEFAULT_RETRY_SHARE: typing.Final = 0.2
-"""Retries as a share of fresh requests where the service says nothing."""
-_RESERVE: typing.Final = 10.0
+"""Retries as a share of new requests if the service sets none."""
+_MAX_BUDGET: typing.Final = 10.0
 
 
 class RetryBudgets:
-    """The budgets of all services at one entry."""
+    """The retry budgets of all services at one entry."""
 
     def __init__(self) -> None:
-        """Start each service with a full reserve."""
+        """Start with a full budget for each service."""
         self._budgets: typing.Final[dict[str, float]] = {}
 
     def note_request(self, service: str, share: float) -> None:
-        """Count a fresh request, which adds ``share`` of a retry."""
-        budget = self._budgets.get(service, _RESERVE)
-        self._budgets[service] = min(_RESERVE, budget + share)
+        """Count a new request, which adds ``share`` of a retry."""
+        budget = self._budgets.get(service, _MAX_BUDGET)
+        self._budgets[service] = min(_MAX_BUDGET, budget + share)
 
     def has_retry(self, service: str) -> bool:
-        """Tell whether a retry could be taken now."""
-        return self._budgets.get(service, _RESERVE) >= 1.0
+        """Tell whether at least one retry is left."""
+        return self._budgets.get(service, _MAX_BUDGET) >= 1.0
 
     def take_retry(self, service: str) -> bool:
-        """Take one retry; False when the budget is spent."""
-        budget = self._budgets.get(service, _RESERVE)
+        """Spend one retry; False when the budget is exhausted."""
+        budget = self._budgets.get(service, _MAX_BUDGET)
         if budget < 1.0:
             return False
         self._budgets[service] = budget - 1.0
