--- a/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/agent_links.py
@@ -24,12 +24,19 @@
 __all__ = ("AgentLink", "LinkCall")
 
 _CLOSE_TIMEOUT_S: typing.Final = 0.2
+"""Time limit for the closing handshake, in seconds."""
 _OPEN_TIMEOUT_S: typing.Final = 2
+"""Time limit for opening a connection, in seconds."""
 _INITIAL_BACKOFF_S: typing.Final = 0.05
+"""Pause before the first reconnect, in seconds; doubled each time."""
 _MAX_BACKOFF_S: typing.Final = 1.0
+"""Longest pause between two reconnects, in seconds."""
 _RECOVERY_TIMEOUT_MS: typing.Final = 5000
+"""Time for which a lost link counts as recovering, in milliseconds."""
 _EXTRA_CHANNEL_SLOTS: typing.Final = 16
+"""Channel capacity beyond the window, for messages without items."""
 _MAX_REFUSAL_MS: typing.Final = 1000
+"""Longest time for which a refusal counts, in milliseconds."""
 _FINAL_MESSAGE_TYPES: typing.Final = frozenset(
     ("ended", "refused", "prepared", "cancelled")
 )
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -30,7 +30,9 @@
 __all__ = ("Call",)
 
 _MAX_ATTEMPTS: typing.Final = 3
+"""Agents that a call is offered to at most."""
 _ACKNOWLEDGEMENTS_PER_WINDOW: typing.Final = 4
+"""Acknowledgements that are sent for each window of items."""
 
 
 class _LostLink(typing.NamedTuple):
@@ -151,7 +153,7 @@
                 with self._dispatcher.shutdown.limit_wait(
                     self._make_shutdown_error
                 ):
-                    await self._start_attempt()
+                    await self._send_to_agent()
                 continue
             await self._acknowledge()
             message = await self._link_call.receive()
@@ -164,7 +166,7 @@
             if part is not None:
                 return part
 
-    async def _start_attempt(self) -> None:
+    async def _send_to_agent(self) -> None:
         lost, self._lost_link = self._lost_link, None
         if lost is not None:
             await self._reoffer_on_link(lost)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/claim_rates.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/claim_rates.py
@@ -8,7 +8,9 @@
 __all__ = ("ClaimRateLimiter",)
 
 _APPENDS_PER_S: typing.Final = 200
+"""Claims that all entries together append per second."""
 _BURST_APPENDS: typing.Final = 20
+"""Capacity of an entry's token bucket, in claims."""
 _MS_IN_S: typing.Final = 1000
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
@@ -24,8 +24,11 @@
 
 _FIRST_OFFSET: typing.Final = 1
 _MAX_APPENDS: typing.Final = 3
+"""Attempts to append a claim."""
 _LOG_TIMEOUT_MS: typing.Final = 2000
+"""Time limit of reading or making a claim, in milliseconds."""
 _RETRY_AFTER_MS: typing.Final = 1000
+"""Default retry delay that callers are told, in milliseconds."""
 _STEP: typing.Final = "claim idempotency key"
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
@@ -25,7 +25,9 @@
 RETRY_AFTER_MS: typing.Final = 1000
 """Default retry delay that callers are told, in milliseconds."""
 _HOME_TIMEOUT_MS: typing.Final = 15_000
+"""Longest wait for the home of a generation, in milliseconds."""
 _SHORT_HOME_TIMEOUT_MS: typing.Final = 1500
+"""The same while another agent could repeat the work."""
 
 
 class HomeLostError(Exception):
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
@@ -24,7 +24,9 @@
 __all__ = ("KeyClaims", "digest_request", "name_stream")
 
 _STREAM_PREFIX: typing.Final = "idempotency-"
+"""Prefix of the names of key streams."""
 _DIGEST_BYTES: typing.Final = 20
+"""Length of the truncated SHA-256 digests, in bytes."""
 
 
 def _digest(parts: typing.Sequence[typing.Any]) -> bytes:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
@@ -20,9 +20,13 @@
 )
 
 _ENTRIES_PER_AGENT: typing.Final = 6
+"""Number of entries that should be connected to each agent."""
 _MIN_LINKS: typing.Final = 2
+"""Least number of links per service of an entry process."""
 _FAILURES_UNTIL_UNREACHABLE: typing.Final = 3
+"""Consecutive failures after which an agent is replaced."""
 _UNREACHABLE_MS: typing.Final = 30_000
+"""Time for which an unreachable agent ranks last, in milliseconds."""
 
 
 def compute_min_links(links_per_service: int, processes_on_host: int) -> int:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_scores.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_scores.py
@@ -25,14 +25,23 @@
 """Score from which on a target counts as full, as a share of memory."""
 
 _NEUTRAL_SCORE: typing.Final = 0.5
+"""Score of a target without a report, as a share of memory."""
 _HALF_LIFE_MS: typing.Final = 2000.0
+"""Age at which a report has half its weight, in milliseconds."""
 _FULL_QUEUE_WAIT_MS: typing.Final = 1000.0
+"""Queueing time that raises the score by 1, in milliseconds."""
 _DEFAULT_CALL_SHARE: typing.Final = 1 / 32
+"""Memory share of a call where no report gives one."""
 _REFUSAL_PENALTY: typing.Final = 2.0
+"""Score added while a refusal of the target is in effect."""
 _SLOW_FACTOR: typing.Final = 2.0
+"""Multiple of the median token time above which a target is slow."""
 _SLOW_PENALTY: typing.Final = 0.5
+"""Score added per further multiple of the median token time."""
 _MAX_SLOW_PENALTY: typing.Final = 4.0
+"""Largest score added for a slow target."""
 _MIN_PACES: typing.Final = 2
+"""Targets with a token time that a median needs at least."""
 
 
 def _measure_age_ms(link: agent_links.AgentLink) -> float:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_settings.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_settings.py
@@ -5,7 +5,9 @@
 __all__ = ("LinkSettings", "compute_report_ms")
 
 _REPORT_WIRE_BYTES: typing.Final = 250
+"""Size of a report on the wire, in bytes."""
 _REPORT_BUDGET_BYTES_S: typing.Final = 1500
+"""Traffic that reports to a host may cause, in bytes per second."""
 
 
 def compute_report_ms(links: int) -> int:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/prefix_digests.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/prefix_digests.py
@@ -8,7 +8,9 @@
 __all__ = ("digest_prefixes",)
 
 _CHUNK_CHARACTERS: typing.Final = 256
+"""Length of a chunk, in characters."""
 _MAX_CHUNKS: typing.Final = 64
+"""Largest number of chunks that are digested."""
 
 
 def digest_prefixes(prompt: str) -> abc.Sequence[int]:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
@@ -19,6 +19,7 @@
 __all__ = ("cancel_generation", "prepare_generation")
 
 _CANCEL_TIMEOUT_S: typing.Final = 10
+"""Time limit of a cancellation, in seconds."""
 
 
 async def prepare_generation(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
@@ -23,6 +23,7 @@
 _KEY_HEADER: typing.Final = "Idempotency-Key"
 _GENERATION_HEADER: typing.Final = "Gentianpoint-Generation"
 _MAX_KEY_CHARACTERS: typing.Final = 255
+"""Longest idempotency key, in characters."""
 
 
 def _make_invalid_request(field: str, reason: str) -> errors.CallError:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/retry_budgets.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/retry_budgets.py
@@ -13,6 +13,7 @@
 DEFAULT_RETRY_SHARE: typing.Final = 0.2
 """Retries as a share of new requests if the service sets none."""
 _MAX_BUDGET: typing.Final = 10.0
+"""Initial and largest budget of a service, in retries."""
 
 
 class RetryBudgets:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/two_choices_placement.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/two_choices_placement.py
@@ -22,10 +22,15 @@
 __all__ = ("TwoChoicesPolicy",)
 
 _SAMPLE_SIZE: typing.Final = 2
+"""Targets that are sampled at random."""
 _PREFIX_BONUS: typing.Final = 0.3
+"""Score subtracted when the whole prompt is cached."""
 _REMOTE_PENALTY: typing.Final = 0.25
+"""Score added to targets in other data centres."""
 _SLOW_PROBE_MS: typing.Final = 3000.0
+"""Interval between calls that probe a slow target, in milliseconds."""
 _MAX_REMEMBERED_LINKS: typing.Final = 1024
+"""Agents whose last call time is kept."""
 
 
 class TwoChoicesPolicy(placement_policy.PlacementPolicy):
