--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -125,7 +125,8 @@
             "entry", "heartbeat-ms"
         )
         self.idle_beat_s: typing.Final = (
-            self.beat_s * peer_connections.count_idle_beat_ticks(allowed_ticks)
+            self.beat_s
+            * peer_connections.count_idle_heartbeat_ticks(allowed_ticks)
         )
         self.entry: typing.Final = self._work_out_entry()
         self.agent: typing.Final = self._work_out_agent()
@@ -178,7 +179,7 @@
 
     def hosts_pause_s(self, processes: int = 1) -> float:
         """Return the time between a process's readings of the host list."""
-        pause_ms = host_watch.compute_pause_ms(
+        pause_ms = host_watch.compute_poll_interval_ms(
             1000, round(self.hosts_bytes()), processes
         )
         return pause_ms / 1000
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/dispatch.py
@@ -82,7 +82,7 @@
 
     def end_calls(self) -> None:
         """Make all waiting calls end with what they have received."""
-        self.shutdown.end_waits()
+        self.shutdown.cancel_waits()
         for call in self._open_calls:
             call.stop_waiting()
 
