--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
@@ -67,9 +67,9 @@
         )
         responder = generation_answers.GenerationResponder(call, format_type)
         if body.stream:
-            usage = body.stream_options
+            stream_options = body.stream_options
             return await responder.make_streamed_response(
-                usage is not None and usage.include_usage
+                stream_options is not None and stream_options.include_usage
             )
         return await responder.make_complete_response()
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
@@ -30,8 +30,8 @@
 
 
 def _digest(parts: typing.Sequence[typing.Any]) -> bytes:
-    # CBOR delimits the parts. Plain concatenation would give two customers
-    # with different keys the same digest.
+    # CBOR delimits the parts. With plain concatenation, different pairs of
+    # customer and key could have the same digest.
     return hashlib.sha256(cbor2.dumps(list(parts))).digest()[:_DIGEST_BYTES]
 
 
@@ -88,10 +88,11 @@
         when the claim can't be determined.
         """
         marker = dispatch.OpenCall()
-        fresh = request._replace(retry_share=0.0)
+        # The call that runs the request credits the retry budget itself.
+        uncredited = request._replace(retry_share=0.0)
         # Registered as open from here on, since a shutdown could otherwise
         # cut the call off between its claim and its start.
-        self._dispatcher.add_call(marker, fresh)
+        self._dispatcher.add_call(marker, uncredited)
         try:
             with self._dispatcher.shutdown.limit_wait(
                 lambda: claim_streams.make_unknown_outcome(
@@ -100,13 +101,13 @@
                     name_stream(request.customer, key),
                 )
             ):
-                return await self._bind(fresh, key, request)
+                return await self._bind(uncredited, key, request)
         finally:
             self._dispatcher.forget_call(marker)
 
     async def _bind(
         self,
-        fresh: call_requests.CallRequest,
+        uncredited: call_requests.CallRequest,
         key: str,
         request: call_requests.CallRequest,
     ) -> call_requests.CallRequest:
@@ -118,7 +119,7 @@
         digest = digest_request(request.service, request.request)
         claim = await self._streams.find_claim(stream)
         if claim is None:
-            identifier = await self._prepare(fresh, stream)
+            identifier = await self._prepare(uncredited, stream)
             wanted = claim_streams.KeyClaim(digest, identifier)
             claim = await self._streams.make_claim(stream, wanted)
             logs.log_event(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_pool.py
@@ -45,21 +45,21 @@
     return max(min(_MIN_LINKS, links_per_service), shared)
 
 
-def compute_link_count(agents: int, entries: int, fewest: int) -> int:
+def compute_link_count(agents: int, entries: int, min_links: int) -> int:
     """Return the number of a service's agents that an entry connects to.
 
-    It is at least ``fewest``, and high enough that each agent has
+    It is at least ``min_links``, and high enough that each agent has
     connections from about six entries. A fixed number would leave agents
     idle when there are few entries and many agents, and with many entries a
     large number costs each of them needless heartbeats and reports.
 
-    >>> compute_link_count(agents=245, entries=380, fewest=4)
+    >>> compute_link_count(agents=245, entries=380, min_links=4)
     4
-    >>> compute_link_count(agents=12, entries=2, fewest=4)
+    >>> compute_link_count(agents=12, entries=2, min_links=4)
     36
     """
     return max(
-        fewest, math.ceil(_ENTRIES_PER_AGENT * agents / max(1, entries))
+        min_links, math.ceil(_ENTRIES_PER_AGENT * agents / max(1, entries))
     )
 
 
@@ -86,8 +86,8 @@
 
     def rank(host: ports.Host) -> tuple[bool, bool, int]:
         weight = xxhash.xxh64_intdigest(f"{entry}/{host.host}".encode())
-        is_far = host.data_centre != data_centre
-        return host.host in unreachable, is_far, -weight
+        is_remote = host.data_centre != data_centre
+        return host.host in unreachable, is_remote, -weight
 
     entries = 0
     by_service: dict[str, list[ports.Host]] = {}
