--- a/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/agent.py
@@ -145,9 +145,7 @@
                 state.prefixes.clear()
             state.record_report(load)
             if load.reclaim_in_ms is not None:
-                state.lifecycle.start_leaving(
-                    "the platform is reclaiming the engine"
-                )
+                state.lifecycle.start_leaving("the engine is reclaimed")
         await trio.sleep(_LOAD_POLL_S)
 
 
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -68,7 +68,7 @@
         """
         return generations.GenerationEnd(
             generations.OUTCOME_UNKNOWN,
-            "an earlier run of the agent received the call; it may have run",
+            "an earlier run of the agent had it; it may have run",
         )
 
     async def run_adopted(self, generation: generations.Generation) -> None:
@@ -126,7 +126,7 @@
         if deadline_scope.cancelled_caught:
             return generations.GenerationEnd(
                 generations.INCOMPLETE,
-                "the caller's deadline has passed",
+                "the caller's deadline was past",
                 completion_tokens=generation.count_items(),
             )
         return generations.GenerationEnd(
@@ -201,7 +201,7 @@
             )
             raise errors.CallError(
                 errors.NOT_RUN,
-                "the deadline to start has passed",
+                "the deadline to start was past",
                 step="start generation",
                 retry_after_ms=1,
             )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_orders.py
@@ -40,8 +40,8 @@
 _REPLICAS_PER_TURN: typing.Final = 4
 """Replicas of a service for each one that may carry out an order at a time."""
 _SUSPENSION_REASONS: typing.Final[abc.Mapping[str, str]] = {
-    desired_states.LOAD: "the target is loading another version",
-    desired_states.ROLE: "the target is changing its role",
+    desired_states.LOAD: "the target loads another version",
+    desired_states.ROLE: "the target changes its role",
     desired_states.UNLOAD: "the service is declared unloaded",
 }
 """Reason with which calls are refused during each kind of order."""
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_runner.py
@@ -135,9 +135,7 @@
             # A cancel by this run ends the task before the engine reports
             # it, so an earlier run cancelled the stream as an orphan. Ending
             # with ``cancelled`` would tell the caller that it had cancelled.
-            return self._make_lost_end(
-                generation, "an earlier run of the agent cancelled it"
-            )
+            return self._make_lost_end(generation, "another run cancelled it")
         return end
 
     def _make_request(
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/entry_connections.py
@@ -116,7 +116,7 @@
             newest, hello.get("oldest_version", newest)
         )
         if version is None:
-            await self._reject(f"protocol version {newest} is not supported")
+            await self._reject(f"protocol version {newest} is not spoken here")
         self._connection.peer = hello["peer"]
         self._window = min(max(1, hello["window"]), _MAX_WINDOW)
         self._periods = report_periods.choose_periods(
@@ -373,7 +373,7 @@
         if generation is None:
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "this agent holds no such generation",
+                "no such generation is held here",
                 step="resume generation",
             )
         # An adopted generation is read again from its first item, so it may
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/generation_table.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/generation_table.py
@@ -168,7 +168,7 @@
         if prepared is None or prepared.customer != customer:
             raise errors.CallError(
                 errors.OUTCOME_UNKNOWN,
-                "this agent does not hold the identifier; it may have run",
+                "the identifier is not held here; it may have run",
                 step="start prepared generation",
                 peer=self._target,
             )
--- a/packages/gentianpoint-core/src/gentianpoint_core/generation_ids.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/generation_ids.py
@@ -95,16 +95,12 @@
     parts = text.split("~")
     if len(text) > _MAX_LENGTH or len(parts) != 4 or not all(parts):
         return expression.Error(
-            errors.Failure(
-                "parse generation id", "", "not four parts separated by ~"
-            )
+            errors.Failure("parse generation id", "", "not of four parts")
         )
     target, incarnation, number, secret = parts
     if not number.isdecimal() or not number.isascii():
         return expression.Error(
-            errors.Failure(
-                "parse generation id", target, "the third part is not a number"
-            )
+            errors.Failure("parse generation id", target, "no number")
         )
     return expression.Ok(
         GenerationId(target, incarnation, int(number), secret)
--- a/packages/gentianpoint-core/src/gentianpoint_core/http_plain_service.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/http_plain_service.py
@@ -98,5 +98,5 @@
                 yield chunk
         except httpx.HTTPError as error:
             raise ports.PortError(
-                "read response", self._url, repr(error), took_effect=True
+                "read answer", self._url, repr(error), took_effect=True
             ) from error
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/caller_bodies.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/caller_bodies.py
@@ -72,9 +72,9 @@
     limit = body.max_completion_tokens or body.max_tokens
     reason = ""
     if body.n not in (None, 1):
-        reason = "n: only one answer per request is supported"
+        reason = "n: only one answer a request is given"
     elif limit is not None and limit < 1:
-        reason = "max_tokens: must be at least 1"
+        reason = "max_tokens: less than 1"
     if reason:
         raise errors.CallError(
             errors.INVALID_REQUEST, reason, step="read body"
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -119,7 +119,7 @@
             return error
         return errors.CallError(
             errors.OUTCOME_UNKNOWN,
-            f"an earlier attempt was lost, then: {error.reason}",
+            f"an attempt was lost, then: {error.reason}",
             step=error.step,
             peer=error.peer,
             retry_after_ms=error.retry_after_ms,
@@ -141,7 +141,7 @@
         may_have_run = self._may_have_started or bool(self.request.generation)
         return errors.CallError(
             errors.OUTCOME_UNKNOWN if may_have_run else errors.NOT_RUN,
-            "the entry shut down before the call ended",
+            "this entry ends before the call",
             step="receive items",
             peer=self._get_peer(),
             retry_after_ms=dispatch.RETRY_AFTER_MS,
@@ -228,7 +228,7 @@
         if self.request.start_by.is_past():
             raise errors.CallError(
                 errors.NOT_RUN,
-                "the deadline to start has passed",
+                "the deadline to start was past",
                 step="choose target",
                 peer=self.request.service,
                 retry_after_ms=dispatch.RETRY_AFTER_MS,
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/claim_streams.py
@@ -119,12 +119,12 @@
             found = await self._read_first(stream)
             if found is not None:
                 return found
-        raise self._report_unclaimed(stream, "the log accepted no claim")
+        raise self._report_unclaimed(stream, "the log took no claim")
 
     def _require_rate(self, stream: str) -> None:
         if not self._rate.try_acquire():
             raise self._report_unclaimed(
-                stream, "this entry exceeds its rate of key claims"
+                stream, "this entry claims too many keys"
             )
 
     async def _read_first(self, stream: str) -> typing.Optional[KeyClaim]:
@@ -138,7 +138,7 @@
             # Treating the key as free would run an old request again.
             logs.log_event(events.KEY_EXPIRED, stream=stream)
             raise make_unknown_outcome(
-                "the key was used before and its claim has expired", stream, 0
+                "the key was used, its claim expired", stream, 0
             )
         return _decode_claim(stream, found.records[0].data)
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/generation_routes.py
@@ -127,7 +127,7 @@
         if parsed.is_error():
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "not a valid generation identifier",
+                "this is no identifier of a generation",
                 step="find generation",
             )
         link = state.dispatcher.pool.find_target_link(parsed.ok.target)
@@ -174,7 +174,7 @@
         if not known:
             raise errors.CallError(
                 errors.UNKNOWN_GENERATION,
-                "the generation does not exist or is no longer held",
+                "no such generation is held",
                 step="cancel generation",
             )
         body = msgspec.json.encode({"id": identifier, "cancelled": True})
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/key_claims.py
@@ -96,8 +96,8 @@
         try:
             with self._dispatcher.shutdown.limit_wait(
                 lambda: claim_streams.make_unknown_outcome(
-                    "the entry shut down before the key was bound; send the"
-                    " same key again",
+                    "this entry ends before the key is bound; "
+                    "send the same key again",
                     name_stream(request.customer, key),
                 )
             ):
@@ -114,7 +114,7 @@
         stream = name_stream(request.customer, key)
         if not self._tail.is_log_available():
             raise claim_streams.make_unknown_outcome(
-                "the log is unavailable; send the same key again", stream
+                "the log is out; send the same key again", stream
             )
         digest = digest_request(request.service, request.request)
         claim = await self._streams.find_claim(stream)
@@ -139,7 +139,7 @@
         if claim.request != digest:
             raise errors.CallError(
                 errors.INVALID_REQUEST,
-                "Idempotency-Key: already used for a different request",
+                "Idempotency-Key: it was used for another request",
                 step="read headers",
             )
         return request._replace(generation=claim.generation)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/plain_routes.py
@@ -87,7 +87,7 @@
     if not raw.startswith(_PREFIX) or parse.unquote(before) != service:
         raise errors.CallError(
             errors.INVALID_REQUEST,
-            "the slash between service and path must not be encoded",
+            "a slash before the path of the service is encoded",
             step="read path",
         )
     query = quart.request.query_string.decode("latin-1")
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/prepared_generations.py
@@ -43,7 +43,7 @@
 def _make_shutdown_error() -> errors.CallError:
     return errors.CallError(
         errors.NOT_RUN,
-        "the entry shut down before it got an identifier",
+        "this entry ends before an identifier came",
         step="prepare generation",
         retry_after_ms=dispatch.RETRY_AFTER_MS,
     )
@@ -65,15 +65,13 @@
         with dispatcher.shutdown.limit_wait(_make_cancel_error):
             with trio.move_on_after(_CANCEL_TIMEOUT_S):
                 return await _cancel(dispatcher, request)
-        raise _make_cancel_error("the home does not answer; cancel it again")
+        raise _make_cancel_error("its home does not answer; cancel it again")
     finally:
         dispatcher.forget_call(marker)
 
 
 def _make_cancel_error(
-    reason: str = (
-        "the entry shut down before the home answered; cancel it again"
-    ),
+    reason: str = "this entry ends before its home answers; cancel it again",
     retry_after_ms: int = dispatch.RETRY_AFTER_MS,
 ) -> errors.CallError:
     return errors.CallError(
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/request_options.py
@@ -37,15 +37,13 @@
 ) -> typing.Optional[bool]:
     value = headers.get(name, "").lower()
     if value not in ("", _TRUE, _FALSE):
-        raise _make_invalid_request(name, "must be true or false")
+        raise _make_invalid_request(name, "neither true nor false")
     return None if not value else value == _TRUE
 
 
 def _read_number(name: str, value: str) -> int:
     if not (value.isascii() and value.isdecimal()) or len(value) > 12:
-        raise _make_invalid_request(
-            name, "must be a whole number of at most 12 digits"
-        )
+        raise _make_invalid_request(name, "no whole number")
     return int(value)
 
 
@@ -67,15 +65,15 @@
         return ""
     key = values[0]
     if len(values) > 1:
-        raise _make_invalid_request(_KEY_HEADER, "given more than once")
+        raise _make_invalid_request(_KEY_HEADER, "given twice")
     if not 1 <= len(key) <= _MAX_KEY_CHARACTERS or not key.isascii():
         raise _make_invalid_request(
             _KEY_HEADER,
-            f"must have 1 to {_MAX_KEY_CHARACTERS} ASCII characters",
+            f"not of 1 to {_MAX_KEY_CHARACTERS} ASCII characters",
         )
     if _GENERATION_HEADER in headers or wants_prepare(headers):
         raise _make_invalid_request(
-            _KEY_HEADER, "can't be combined with a prepared identifier"
+            _KEY_HEADER, "a key and a prepared identifier exclude each other"
         )
     return key
 
@@ -125,7 +123,5 @@
     """Return the requested number of list rows, 1 to ``maximum``."""
     wanted = _read_number("limit", arguments.get("limit", str(maximum)))
     if not 1 <= wanted <= maximum:
-        raise _make_invalid_request(
-            "limit", f"must be between 1 and {maximum}"
-        )
+        raise _make_invalid_request("limit", f"not between 1 and {maximum}")
     return wanted
