--- a/packages/gentianpoint-agent/features/steps/prompt_backlog_steps.py
+++ b/packages/gentianpoint-agent/features/steps/prompt_backlog_steps.py
@@ -46,4 +46,4 @@
 
 @behave.then("{unread:d} tokens have yet to be processed")
 def check_unread(context, unread):
-    assert prompt_backlog.estimate_unread(context.status) == unread
+    assert prompt_backlog.estimate_unprocessed_tokens(context.status) == unread
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/call_runner.py
@@ -165,9 +165,10 @@
         self, generation: generations.Generation, call: OfferedCall
     ) -> None:
         if generation.is_cancelled():
-            # The call was admitted in the same instant as it was cancelled,
-            # and the task that handles the cancel has not run yet. A
-            # customer who cancelled must not be billed.
+            # The call was admitted in the same instant as it was cancelled
+            # or its offer withdrawn, and the task that handles this has not
+            # run yet. A cancel before the start counts as a withdrawn offer:
+            # a customer who cancelled must not be billed.
             raise errors.CallError(
                 errors.NOT_RUN,
                 "the offer was withdrawn",
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_announcement.py
@@ -1,10 +1,10 @@
-"""Announces the engine that an agent finds at its start to the entries.
+"""Tells the entries about the engine that an agent finds when it starts.
 
-While the log is unavailable, the host list names none of the engines that
-replace others every few seconds, and the known ones fill up and leave one by
-one. With the list available, an announcement brings an engine into use only
-some tenths of a second earlier. Entries that it doesn't reach find the engine
-on the list.
+Every few seconds an engine is replaced by a new one. While the log is
+unavailable, the host list doesn't name the new ones, and the engines that
+entries know become full and are stopped one after the other. With the list
+available, an announcement brings an engine into use only some tenths of a
+second earlier. Entries that it doesn't reach find the engine on the list.
 """
 
 from collections import abc
@@ -60,17 +60,20 @@
         self._source: typing.Final = source
         self._entries: typing.Final = tuple(entries)
         self._has_started: typing.Final = trio.Event()
-        self._born_ms = 0
+        self._started_ms = 0
 
-    def note_start(self, born_ms: int) -> None:
-        """Record that the engine answers; 0 if its start time is unknown.
+    def note_start(self, started_ms: int) -> None:
+        """Record that the engine answers.
+
+        ``started_ms`` is the Unix time of its start in milliseconds, 0 if
+        that is unknown.
 
         Only the first call counts. If an engine is gone and another one
         answers at its address, that one may belong to another service, which
         only the list tells.
         """
         if not self._has_started.is_set():
-            self._born_ms = born_ms
+            self._started_ms = started_ms
             self._has_started.set()
 
     async def run(self) -> None:
@@ -78,7 +81,7 @@
         await self._has_started.wait()
         target = await self._find_identity()
         if target:
-            await self._announce(target, self._born_ms)
+            await self._announce(target, self._started_ms)
 
     async def _find_identity(self) -> str:
         """Return the engine's identifier; empty if it provides none."""
@@ -96,11 +99,11 @@
             await trio.sleep(_IDENTITY_RETRY_S)
         return ""
 
-    async def _announce(self, target: str, born_ms: int) -> None:
+    async def _announce(self, target: str, started_ms: int) -> None:
         message = {
             "type": "engine_here",
             "target": target,
-            "born_ms": born_ms,
+            "born_ms": started_ms,
             "passed_on": False,
             **self._location._asdict(),
         }
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/engine_feed.py
@@ -158,7 +158,9 @@
             "waiting": status.waiting,
             "used_tokens": status.used_tokens,
             "total_tokens": status.total_tokens,
-            "unread_tokens": prompt_backlog.estimate_unread(status),
+            "unread_tokens": prompt_backlog.estimate_unprocessed_tokens(
+                status
+            ),
             "born_ms": status.born_ms,
             "leaving": status.is_leaving,
             "leaves_in_ms": -1 if leaves_in_ms is None else leaves_in_ms,
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_forecasts.py
@@ -171,8 +171,9 @@
     def remove(self, key: abc.Hashable) -> None:
         """Remove a stream with exactly the values with which it was added.
 
-        Its distribution may have changed since. Subtracting by the new one
-        would leave a remainder in the sums, as memory that nobody holds.
+        Its distribution may have changed since. Subtracting the values that
+        result from the new one would leave a remainder in the sums, as memory
+        that nobody holds.
         """
         term = self._terms.pop(key, None)
         if term is None:
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/memory_ledger.py
@@ -103,10 +103,11 @@
     ) -> None:
         """Compare a report with the blocks held at its time.
 
-        ``none_waiting`` tells that no stream waits in the engine. Waiting
-        streams hold no blocks; if those missing blocks were attributed to
-        shared prompts, more calls would be admitted just when memory is
-        short.
+        ``none_waiting`` tells that no stream waits in the engine. A waiting
+        stream holds no blocks, but the ledger has counted some for it. If
+        that difference were taken for prompts that share a prefix,
+        ``prompt_share`` would fall, and more calls would be admitted just
+        when memory is short.
         """
         if load.block_tokens != self._block_tokens:
             self._rebuild(load.block_tokens)
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/move_turns.py
@@ -1,11 +1,13 @@
 """Decides whose generation may move away from the engine next.
 
 An engine may announce its end while generations of several entries run on
-it. If all were copied at once, every copy would share the engine's link with
-all others, and each generation would pause from its stop until all copies
-are complete, or miss the engine's end. One at a time, each pauses only for
-its own last copy, and as many are moved in total. The smallest goes first,
-since that saves the most generations.
+it. Each generation is copied while it runs, and is then stopped for a last
+copy of what it has added. If all were copied at once, every copy would share
+the engine's link with all others. Each generation would stay stopped until
+all copies are complete, or its copy would be incomplete when the engine
+ends. One at a time, each is stopped only for its own last copy, and as many
+are moved in total. The smallest goes first, since that saves the most
+generations.
 """
 
 import typing
@@ -15,9 +17,10 @@
 __all__ = ("MoveRequest", "MoveTurns")
 
 _TURN_S: typing.Final = 1.5
-"""Time after which a turn that was not released ends, in seconds. Copying the
-memory of a typical generation takes a third of it, and of the largest one
-most of it; a second copy beside it would keep both from completing."""
+"""Time after which a turn that was not released ends, in seconds. Copying
+the memory of a typical generation takes a third of this time, and that of the
+largest one most of it; a second copy at the same time would keep both from
+completing."""
 
 
 class MoveRequest(typing.NamedTuple):
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/predictive_policy.py
@@ -33,7 +33,8 @@
 _UNTRAINED_DEVIATIONS: typing.Final = 1.0
 """Standard deviations added before any answer has ended."""
 _TRAINING_STREAMS: typing.Final = 32
-"""Number of ended answers at which a quarter of those is still added."""
+"""Number of ended answers at which a quarter of ``_UNTRAINED_DEVIATIONS`` is
+still added."""
 _EXTRA_DECAY: typing.Final = 0.99
 """Factor applied to the added deviations at each load report."""
 _SHORTAGE_MS: typing.Final = 2000.0
@@ -74,7 +75,9 @@
         self._pace_updated_ms = 0.0
         self._forecast: typing.Optional[memory_forecasts.MemoryForecast] = None
         self._preempted = 0
-        self._has_waiting_call = False
+        # True if the last report allows that one of this agent's calls is
+        # still queued in the engine.
+        self._may_have_queued_call = False
         self._extra_deviations = 0.0
         self._shortage_until_ms = 0.0
 
@@ -95,8 +98,9 @@
             return False
         if not running:
             return True
-        if self._preempted or self._has_waiting_call:
+        if self._preempted or self._may_have_queued_call:
             return False
+        # A call is short if its answer is very likely short.
         if not self._pace_limit.allows(
             len(running), is_short=estimate.is_short
         ):
@@ -105,6 +109,8 @@
             self._make_stream_memory(estimate, 0),
             self._find_deviations(estimate),
         )
+        # The forecast covers this agent's streams; foreign blocks are those
+        # in use that none of them holds.
         return peak + self._ledger.foreign_blocks <= load.blocks
 
     def _find_deviations(
@@ -233,7 +239,7 @@
         self._load = load
         none_waiting = not load.waiting and not self._preempted
         self._ledger.apply_report(load, now_ms, none_waiting=none_waiting)
-        self._has_waiting_call = load.waiting > 0 and any(
+        self._may_have_queued_call = load.waiting > 0 and any(
             slot.tokens == 0 and slot.started_ms < now_ms - load.age_ms
             for slot in running
         )
--- a/packages/gentianpoint-agent/src/gentianpoint_agent/prompt_backlog.py
+++ b/packages/gentianpoint-agent/src/gentianpoint_agent/prompt_backlog.py
@@ -9,17 +9,18 @@
 
 from gentianpoint_core import ports
 
-__all__ = ("estimate_unread",)
+__all__ = ("estimate_unprocessed_tokens",)
 
 
-def estimate_unread(status: ports.EngineStatus) -> int:
+def estimate_unprocessed_tokens(status: ports.EngineStatus) -> int:
     """Return the number of prompt tokens that an engine has yet to process.
 
-    The engine allocates memory for a whole prompt when it starts on it, so
-    the memory in use beyond copies and generating streams belongs to the
-    prompt in progress. That prompt counts in full, since reports don't state
-    its progress. Of the waiting prompts only the first one's length is
-    reported; the others are assumed to have the same length.
+    The engine allocates memory for a whole prompt when it starts on it. So
+    the memory in use that holds neither copies of other engines' generations
+    nor streams that have produced an event belongs to the prompt in
+    progress. That prompt counts in full, since reports don't state its
+    progress. Of the waiting prompts only the first one's length is reported;
+    the others are assumed to have the same length.
     """
     waiting = status.waiting * status.next_prompt_tokens
     if status.running <= status.generating:
--- a/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/fleet_builders.py
@@ -133,7 +133,7 @@
             return
         message = codec.decode_message(data, sender).ok
         for name, progress in self.gossip.apply_message(link.gossip, message):
-            follower = self.gossip.find_topic(name)
+            follower = self.gossip.find_follower(name)
             if follower is not None:
                 follower.offer(_FleetTopic(link.receiver, self), progress)
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_connections.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/caller_connections.py
@@ -91,14 +91,14 @@
         stream: trio.SocketStream,
         *,
         is_closing: abc.Callable[[], bool],
-        read_write_deadline: abc.Callable[[], float],
+        get_write_deadline: abc.Callable[[], float],
     ) -> None:
         self.is_started = False
         self.is_finished = False
         self._protocol: typing.Final = protocol
         self._stream: typing.Final = stream
         self._is_closing: typing.Final = is_closing
-        self._read_write_deadline: typing.Final = read_write_deadline
+        self._get_write_deadline: typing.Final = get_write_deadline
 
     async def send_whole(
         self,
@@ -148,7 +148,7 @@
 
     async def _write(self, data: bytes) -> None:
         limit = deadlines.make_deadline(_WRITE_TIMEOUT_MS)
-        limit = limit.earlier(deadlines.Deadline(self._read_write_deadline()))
+        limit = limit.earlier(deadlines.Deadline(self._get_write_deadline()))
         with trio.CancelScope(deadline=limit.at) as scope:
             try:
                 await self._stream.send_all(data)
@@ -241,7 +241,7 @@
                 protocol,
                 stream,
                 is_closing=lambda: self.is_shutting_down,
-                read_write_deadline=lambda: self.write_deadline,
+                get_write_deadline=lambda: self.write_deadline,
             )
             self.active_requests += 1
             try:
@@ -268,7 +268,7 @@
             protocol,
             stream,
             is_closing=lambda: True,
-            read_write_deadline=lambda: self.write_deadline,
+            get_write_deadline=lambda: self.write_deadline,
         )
         try:
             text = str(refusal).encode(errors="replace")[:200]
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/entry_peers.py
@@ -26,7 +26,7 @@
 _CONNECTION_CHECK_S: typing.Final = 0.25
 """Seconds between checks of which connections to open and close."""
 MAX_SEND_INTERVAL_S: typing.Final = 0.25
-"""Seconds, at most, until a connection is sent what its other end lacks. A
+"""Seconds, at most, until new information is sent to a connected entry. A
 report of an engine gets up to this much older at each entry on its way."""
 _FIRST_RETRY_S: typing.Final = 0.4
 """Seconds until another attempt to connect after the first failure; doubles
@@ -61,7 +61,7 @@
 
 
 def _ignore_engine(message: _Message) -> None:
-    """Let the list of targets bring an announced engine."""
+    """Ignore an announced engine, which the list of targets names later."""
 
 
 class EntryPeers:
@@ -100,16 +100,17 @@
         """Return how many entries there are, this one among them.
 
         An entry that reaches no other may be cut off from entries that are
-        running, so members that it has heard of count, and so do seeds.
+        running. So the result includes members that it has heard of but is
+        not connected to, and is at least the number of seeds plus one.
         """
         return max(self._gossip.members.count(), len(self._seeds) + 1)
 
-    def count_budget_sharers(self) -> int:
-        """Return how many entries share the budgets of the whole fleet.
+    def count_retry_sharers(self) -> int:
+        """Return how many entries share the retry limit of all entries.
 
         If there are seeds, it is 0 until another entry was heard of: entries
         that start while they can't reach each other would each use the whole
-        budget.
+        limit.
         """
         if self._seeds and self._gossip.members.count() == 1:
             return 0
@@ -241,7 +242,7 @@
             case "gossip":
                 self._apply_gossip(link, message)
             case "records_wanted":
-                follower = self._gossip.find_topic(message["topic"])
+                follower = self._gossip.find_follower(message["topic"])
                 await link.connection.send(
                     peer_links.make_records_answer(message, follower)
                 )
@@ -268,7 +269,7 @@
                 "decode message", link.address, str(error)
             ) from error
         for name, progress in topics:
-            follower = self._gossip.find_topic(name)
+            follower = self._gossip.find_follower(name)
             if follower is not None:
                 follower.offer(peer_links.PeerTopic(link, name), progress)
 
@@ -292,8 +293,8 @@
             try:
                 await link.connection.send({**message, "passed_on": True})
             except peer_connections.PeerConnectionError as error:
-                # That entry has lost the connection, and the list of
-                # targets will bring it the engine.
+                # The connection to that entry is lost. It finds the engine
+                # on the list of targets instead.
                 peer_connections.log_connection_error(error)
 
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/gossip_state.py
@@ -79,7 +79,7 @@
         self._topics[follower.name] = follower
         follower.notify_progress = self.notify_urgent
 
-    def find_topic(
+    def find_follower(
         self, name: str
     ) -> typing.Optional[topic_follower.TopicFollower]:
         """Return the follower of a topic."""
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
@@ -35,7 +35,8 @@
 among those that share the fleet's limits. It may only be cut off from this
 entry, and still send requests to targets."""
 _MIN_KEPT_S: typing.Final = 60.0
-"""Seconds for which it does so at least, where heartbeats come often."""
+"""Seconds, at least, for which a member that is not heard of still counts.
+This bound applies where heartbeats come often."""
 MAX_FULL_MESH_PEERS: typing.Final = 6
 """Number of other entries up to which each entry is connected to all."""
 _NEAR_LINKS: typing.Final = 2
@@ -98,7 +99,10 @@
         self._put(Member(address, data_centre, 1), deadlines.NEVER)
 
     def tick(self, now: float) -> None:
-        """Increment the own counter if due, and drop members long unheard."""
+        """Increment this entry's counter if due, and drop silent members.
+
+        Those are the members that have not been heard of for a long time.
+        """
         if now - self._beat_at >= compute_beat_interval_s(len(self._known)):
             self._beat_at = now
             own = self._known.find(self.address)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/plain_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/plain_calls.py
@@ -19,7 +19,8 @@
 
 _MAX_SENDS: typing.Final = 4
 """Most targets that one request is sent to, as long as none of them ran it.
-More would cost the caller more time than coming back."""
+With more, the caller would wait longer than if it were refused and sent the
+request again."""
 _MAX_BUFFERED_BYTES: typing.Final = 262144
 """Longest answer, in bytes, that is buffered until it is complete, so that one
 that breaks off can still be replaced. Longer ones are forwarded as they
@@ -103,6 +104,8 @@
 
     def _find_attempt_deadline(self) -> float:
         """Return when to stop waiting for this target, on trio's clock."""
+        # The attempt that is about to start is one run, which is recorded
+        # only after it has failed.
         if not self.attempts.may_run_again(unrecorded_runs=1):
             return math.inf
         route = self._request.route
@@ -185,6 +188,7 @@
     def _can_replace_failure(self) -> bool:
         """Tell whether another target may answer in place of a failure."""
         tried = self.attempts.tried
+        # The run that failed is not recorded yet.
         if not self.attempts.may_run_again(unrecorded_runs=1):
             return False
         if len(tried) >= _MAX_SENDS:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/route_updates.py
@@ -1,4 +1,8 @@
-"""Keeps the newest version of the configuration in force."""
+"""Keeps the newest version of the configuration in force.
+
+Each record holds one version, which is decoded to a table of its routes,
+services and customers.
+"""
 
 from collections import abc
 import typing
@@ -21,10 +25,10 @@
 
 
 class RouteUpdates(topic_follower.RecordConsumer):
-    """Holds the table in force and never replaces it by an older one."""
+    """Holds the newest version's table, never replaced by an older one."""
 
     def __init__(self, decode: DecodeTable) -> None:
-        """Start without a configuration."""
+        """Start without a table; ``decode`` builds one from a record."""
         self._decode: typing.Final = decode
         self.table: typing.Optional[routes.RouteTable] = None
         self._confirmed_at = deadlines.NEVER
@@ -32,13 +36,15 @@
     def measure_age_ms(self) -> int:
         """Return how long ago the log last confirmed the table as newest.
 
-        A high age shows that a caller may have been refused because this
-        process has not read a change yet. -1 if the log has not answered yet.
+        A newer version may have been written since then. So a high age shows
+        that a caller may have been refused by an outdated table, because this
+        process has not read the change yet. -1 if the log has not answered
+        yet.
         """
         return deadlines.measure_ms_since(self._confirmed_at)
 
     def apply_snapshot(self, records: abc.Sequence[ports.KeyedRecord]) -> None:
-        """Apply the newest version."""
+        """Put the newest version among ``records`` in force."""
         for record in records:
             self.apply_change(record)
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/topic_follower.py
@@ -61,7 +61,8 @@
 """Seconds, at most, between checks of whether it is this entry's turn to
 poll. The turn comes earlier if entries ranked before this one are gone."""
 _MAX_PENDING_OFFERS: typing.Final = 8
-"""Offers of other entries that may be queued."""
+"""Most offers that may be queued. An offer tells how far another entry has
+read the topic, so that its records can be fetched."""
 _LONG_POLL_PAUSE_S: typing.Final = 0.05
 """Seconds to pause after a long poll, so that records written in quick
 succession are read together."""
@@ -70,8 +71,9 @@
 class PollTiming(typing.NamedTuple):
     """How often the log is polled for a topic, and how long a poll may take.
 
-    All values follow from one: the maximum lag between the writing of a
-    record, or the end of an outage of the log, and the record's arrival here.
+    All values follow from one: the maximum lag, which is the longest time
+    from the writing of a record until it is here. For a record that an
+    outage of the log delays, it is counted from the end of the outage.
     """
 
     wait_ms: int
