--- a/packages/gentianpoint-core/src/gentianpoint_core/connection_pools.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/connection_pools.py
@@ -276,7 +276,7 @@
         sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._detect_dead_peer(sock)
+            self._enable_dead_peer_detection(sock)
             with trio.fail_after(self._connect_ms / 1000):
                 await sock.connect(self._socket_address)
         except (OSError, trio.TooSlowError) as error:
@@ -289,8 +289,10 @@
             raise
         return trio.SocketStream(sock)
 
-    def _detect_dead_peer(self, sock: trio.socket.SocketType) -> None:
-        """Let the kernel detect connections whose peer no longer responds."""
+    def _enable_dead_peer_detection(
+        self, sock: trio.socket.SocketType
+    ) -> None:
+        """Let the kernel close the connection if its peer stops responding."""
         user_timeout_ms = (
             _PAUSED_USER_TIMEOUT_MS
             if self._tolerates_pauses
--- a/packages/gentianpoint-core/src/gentianpoint_core/http_log.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/http_log.py
@@ -41,7 +41,8 @@
             ) from error
         if response.status_code != 200:
             # A gateway may respond with 5xx although the record was
-            # appended; only these refusals come from the service itself.
+            # appended. Only 413 and 429 come from the service itself, which
+            # has then refused the record.
             raise ports.PortError(
                 step,
                 self._url,
--- a/packages/gentianpoint-core/src/gentianpoint_core/http_plain_service.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/http_plain_service.py
@@ -1,4 +1,4 @@
-"""Adapter to a plain HTTP service."""
+"""Adapter to a plain HTTP service, which runs no model engine."""
 
 from collections import abc
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class HttpPlainService(ports.PlainService):
-    """The plain service at a base URL."""
+    """The plain HTTP service at a base URL."""
 
     def __init__(
         self, url: str, client: httpx.AsyncClient, silence_ms: int
--- a/packages/gentianpoint-core/src/gentianpoint_core/ports.py
+++ b/packages/gentianpoint-core/src/gentianpoint_core/ports.py
@@ -208,7 +208,7 @@
     model: str
     """Model; empty for the loaded one."""
     adapter: str
-    """Adapter; empty for none."""
+    """Adapter of the model: weights loaded on top of it; empty for none."""
     version: str
     """Version of model and adapter; empty for the loaded one."""
 
--- a/packages/gentianpoint-entry/features/forwarding/steps/gossip_state_steps.py
+++ b/packages/gentianpoint-entry/features/forwarding/steps/gossip_state_steps.py
@@ -112,9 +112,9 @@
     return [
         sum(
             duration_ms is not None
-            for is_near in (True, False)
+            for is_same_data_centre in (True, False)
             for duration_ms in entry.table.list_leaving_durations_ms(
-                now, is_near=is_near
+                now, is_same_data_centre=is_same_data_centre
             )
         )
         for entry in fleet.entries.values()
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/administration_routes.py
@@ -1,4 +1,10 @@
-"""HTTP routes of the administration API for resources and changes."""
+"""HTTP routes of the administration API for resources and changes.
+
+Resources are read from ``state.tail.state``, the configuration as this entry
+has read it from the log so far. ``state.tracker`` reads the status records,
+which tell up to which change each host has applied the configuration, and
+counts the hosts on which a change is in force.
+"""
 
 from collections import abc
 import typing
@@ -128,9 +134,9 @@
         row = change_answers.describe_change(found)
         body: dict[str, object] = dict(row)
         if row["state"] == change_answers.ACCEPTED:
-            await state.tracker.wait_first_read()
+            await state.tracker.wait_until_caught_up()
             body["in_force"] = change_answers.describe_in_force(
-                state.tracker.count_in_force(row["revision"])
+                state.tracker.count_hosts_in_force(row["revision"])
             )
         return change_answers.make_json_answer(body)
 
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/calls.py
@@ -1,6 +1,9 @@
 """State machine of one caller's request, from first offer to final answer.
 
-A request is offered to an agent. A repeatable request is retried on another
+A request is offered to an agent. An attempt is this offer together with the
+run that may follow from it; after a lost connection the same attempt can be
+offered again. The answer consists of numbered items: the texts of tokens, or
+the chunks of a plain HTTP response. A repeatable request is retried on another
 agent as long as no item was delivered. After a connection is lost, a
 generation is only ever resumed at its home: the target that its identifier
 names.
@@ -36,12 +39,15 @@
 
 
 class _LostLink(typing.NamedTuple):
-    """A link that was lost while an attempt was open on it."""
+    """A link that was lost before the attempt offered on it had ended."""
 
     link: agent_links.AgentLink
     """The link, which reconnects on its own."""
     incarnation: str
-    """Incarnation of the agent process that received the attempt."""
+    """Identifier of the agent process that the attempt was offered to.
+
+    The agent chooses this random string anew each time its process starts.
+    """
 
 
 class Call(dispatch.OpenCall):
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/change_watch.py
@@ -134,7 +134,7 @@
 
     def _encode_in_force(self) -> abc.Iterator[bytes]:
         for offset, last_count in tuple(self._tracked_counts.items()):
-            progress = self._state.tracker.count_in_force(offset)
+            progress = self._state.tracker.count_hosts_in_force(offset)
             if progress.in_force_count != last_count:
                 self._tracked_counts[offset] = progress.in_force_count
                 yield self._encode_count(offset, progress)
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/members.py
@@ -136,12 +136,13 @@
         )
 
     def list_leaving_durations_ms(
-        self, now: float, *, is_near: bool
+        self, now: float, *, is_same_data_centre: bool
     ) -> abc.Sequence[typing.Optional[float]]:
         """Return for each live member how long it has been leaving.
 
-        The value is None for a member that is not leaving. ``is_near``
-        selects the members of this data centre, else those of all others.
+        The value is None for a member that is not leaving. With
+        ``is_same_data_centre`` the members of this data centre are listed,
+        else those of all others.
         """
         return [
             None
@@ -149,7 +150,8 @@
             else (now - known.leaving_since) * 1000
             for address, known in self._known.list_all()
             if address in self._live
-            and is_near == (known.member.data_centre == self.data_centre)
+            and is_same_data_centre
+            == (known.member.data_centre == self.data_centre)
         ]
 
     @property
@@ -204,8 +206,10 @@
             for address in ranking.rank_members(self.address, others):
                 member = self.find(address)
                 assert member is not None
-                is_near = member.data_centre == self.data_centre
-                (self._near if is_near else self._far).append(address)
+                is_same_data_centre = member.data_centre == self.data_centre
+                (self._near if is_same_data_centre else self._far).append(
+                    address
+                )
         return self._near, self._far
 
     def _put(self, member: Member, now: float) -> None:
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/link_scores.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/link_scores.py
@@ -33,7 +33,7 @@
 _DEFAULT_CALL_SHARE: typing.Final = 1 / 32
 """Memory share of a call where no report gives one."""
 _REFUSAL_PENALTY: typing.Final = 2.0
-"""Score added while a refusal of the target is in effect."""
+"""Score added to a target that refused a call, until it may be tried again."""
 _SLOW_FACTOR: typing.Final = 2.0
 """Multiple of the median token time above which a target is slow."""
 _SLOW_PENALTY: typing.Final = 0.5
@@ -65,7 +65,8 @@
     freshness = math.pow(0.5, _measure_age_ms(link) / _HALF_LIFE_MS)
     memory = max(report["memory_used"], report["memory_predicted"])
     running = report["running"]
-    # A plain service has no cache memory, so its running calls count instead.
+    # A plain HTTP service runs no model engine and has no cache memory, so
+    # its running calls count instead.
     memory = memory or running * _DEFAULT_CALL_SHARE
     reported = memory + report["queue_wait_ms"] / _FULL_QUEUE_WAIT_MS
     known = freshness * reported + (1 - freshness) * _NEUTRAL_SCORE
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/placement_policy.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/placement_policy.py
@@ -19,5 +19,6 @@
     ) -> agent_links.AgentLink:
         """Return one of the ``candidates``, which are never empty.
 
-        An implementation must not block and must work without any reports.
+        An implementation must not block. It must also work while no agent
+        has sent a load report to this entry.
         """
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/status_tracker.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/status_tracker.py
@@ -104,7 +104,7 @@
         self._follow_until = deadlines.make_deadline(_FOLLOW_MS)
         self._follow_requested.set()
 
-    async def wait_first_read(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Wait a limited time until the latest records have been read."""
         self.keep_following()
         with trio.move_on_after(_FIRST_READ_TIMEOUT_S):
@@ -154,8 +154,8 @@
             known = self._known_offsets.get(name, 0)
             self._known_offsets[name] = max(known, record.offset)
 
-    def count_in_force(self, offset: int) -> InForce:
-        """Return where the change at ``offset`` is in force."""
+    def count_hosts_in_force(self, offset: int) -> InForce:
+        """Return on how many hosts the change at ``offset`` is in force."""
         confirmed = (
             {self._hosts.own_name} if self._is_in_force_here(offset) else set()
         )
