--- a/bench/replay/engine_calls.py
+++ b/bench/replay/engine_calls.py
@@ -31,7 +31,7 @@
         self.headers = ()
         self.has_not_run = work is None
         self.is_wrong_target = False
-        self.has_server_seal = True
+        self.has_target_seal = True
         self.retry_after_ms = 0.0
         self._work: typing.Final = work
 
--- a/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
+++ b/packages/gentianpoint-entry/features/forwarding/forwarding_builders.py
@@ -114,7 +114,7 @@
         self.headers = ((b"x-mark", b"1"),)
         self.has_not_run = words == "refuse"
         self.is_wrong_target = words == "other target"
-        self.has_server_seal = words != "unmarked"
+        self.has_target_seal = words != "unmarked"
         self.retry_after_ms = 0.0
         self.status = 200
         if self.has_not_run or words == "unproved refusal":
--- a/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
+++ b/packages/gentianpoint-entry/src/gentianpoint_entry/forwarding/target_calls.py
@@ -27,7 +27,7 @@
     is_wrong_target: bool
     """True when another target has the address now, so that nothing has
     run."""
-    has_server_seal: bool
+    has_target_seal: bool
     """True when the answer bears the target's seal, without which a success
     does not count."""
     retry_after_ms: float
@@ -46,7 +46,7 @@
         so.
         """
         return (
-            self.has_server_seal and self.status not in _NOT_EXECUTED_STATUSES
+            self.has_target_seal and self.status not in _NOT_EXECUTED_STATUSES
         )
 
     @abc.abstractmethod
